--- a/radishmoor/dispatch/dispatcher.cc
+++ b/radishmoor/dispatch/dispatcher.cc
@@ -11,24 +11,29 @@
 namespace radishmoor::dispatch {
 namespace {
 
-// Bounds the memory for learned run times of one pool; further operations
-// share one record.
+// Bounds the memory for the run times of one pool's operations. Further
+// operations share one record.
 constexpr size_t kMaxOperations = 256;
-// Below this, a pool's own run times say more than an operation's.
-constexpr uint64_t kOperationSamples = 16;
-// Bounds the memory for failures of jobs, and how long they are held.
-constexpr size_t kMaxJobs = 4096;
-constexpr Duration kJobMemory = Seconds(60);
+// With fewer samples of an operation, the run times of its pool are the better
+// estimate.
+constexpr uint64_t kMinOperationSamples = 16;
+// Bound the memory for failures by request content, and how long they count.
+constexpr size_t kMaxFailureRecords = 4096;
+constexpr Duration kFailureRecordLifetime = Seconds(60);
 constexpr Duration kMinRetryAfter = Milliseconds(100);
-// Lost run time that may be saved up, in long thresholds for each slot. A fixed
-// 64 thresholds cost a pool of 10 slots 7% of its goodput in a peak of 5 s.
-constexpr double kRestartBurst = 0.8;
-constexpr int kMinBurstSlots = 5;
-// Hosts that go on with aborted runs answer not-run to the work sent in their
-// place. Restarts then pause, and are tried again after this time.
+// Maximum of a pool's restart budget, in long-run thresholds per slot. A fixed
+// maximum of 64 thresholds cost a pool of 10 slots 7% of its goodput in a peak
+// of 5 s.
+constexpr double kRestartBudgetPerSlot = 0.8;
+constexpr int kMinRestartBudgetSlots = 5;
+// A host that goes on with an aborted run may have no slot for the next request
+// and then answers not-run. If it does so within kAbortEffectWindow of an
+// abort, aborts for restarts are futile, and the pool makes none for
+// kRestartPause.
 constexpr Duration kRestartPause = Seconds(60);
-constexpr Duration kRestartMemory = Seconds(5);
-constexpr uint64_t kThresholdRefresh = 32;
+constexpr Duration kAbortEffectWindow = Seconds(5);
+// Number of completed runs after which a pool's long-run threshold is updated.
+constexpr uint64_t kThresholdRefreshSamples = 32;
 
 bool Contains(const std::vector<HostId>& hosts, const HostId& host) {
   return std::find(hosts.begin(), hosts.end(), host) != hosts.end();
@@ -73,22 +78,24 @@
 }
 
 size_t Dispatcher::Pool::waiting() const {
-  return list(Place::kShortQueue).size() + list(Place::kLongQueue).size() +
-         list(Place::kBackoff).size();
+  return list(RequestPhase::kShortQueue).size() +
+         list(RequestPhase::kLongQueue).size() +
+         list(RequestPhase::kBackoff).size();
 }
 
 size_t Dispatcher::Pool::in_flight() const {
-  return list(Place::kYoung).size() + list(Place::kRestartable).size() +
-         list(Place::kAged).size();
+  return list(RequestPhase::kInFlightShort).size() +
+         list(RequestPhase::kInFlightRestartable).size() +
+         list(RequestPhase::kInFlightLong).size();
 }
 
 Duration Dispatcher::Pool::QueueTime(size_t ahead) const {
   return capacity == 0
              ? Duration(0)
-             : Scale(runs.mean(), static_cast<double>(ahead) / capacity);
+             : Scale(run_times.mean(), static_cast<double>(ahead) / capacity);
 }
 
-void Dispatcher::Pool::RefreshTotals() {
+void Dispatcher::Pool::RecomputeCapacity() {
   capacity = 0;
   free = 0;
   for (const auto& [host, target] : targets) {
@@ -104,11 +111,11 @@
 
 std::vector<Action> Dispatcher::Handle(Time now, const Message& message) {
   now_ = std::max(now_, now);
-  // The message goes first: an answer that is already here is a better outcome
-  // than a deadline that fires in the same call.
+  // The message is handled before the timers, so that a result that has arrived
+  // takes precedence over a deadline that is due in the same call.
   std::visit([this](const auto& m) { On(m); }, message);
   RunTimers();
-  PumpDirty();
+  SchedulePools();
   PruneTimers();
   RADISHMOOR_INVARIANT(
       "dispatch.conservation",
@@ -145,15 +152,13 @@
   return it == pools_.end() ? 0 : it->second.waiting() + it->second.in_flight();
 }
 
-// Messages.
-
 void Dispatcher::On(const PoolSet& message) {
   Pool& pool = pools_[message.pool];
   pool.id = message.pool;
   pool.queue_limit = message.queue_limit;
   pool.closed = message.closed;
   pool.removed = false;
-  MarkDirty(pool);
+  MarkForScheduling(pool);
 }
 
 void Dispatcher::On(const PoolRemoved& message) {
@@ -169,9 +174,9 @@
     target.removed = true;
     target.usable = false;
   }
-  pool.RefreshTotals();
+  pool.RecomputeCapacity();
   RefuseWaiting(pool, Reason::kShuttingDown);
-  MarkDirty(pool);
+  MarkForScheduling(pool);
 }
 
 void Dispatcher::On(const TargetSet& message) {
@@ -187,8 +192,8 @@
   target.leaving_soon = message.leaving_soon;
   target.limit = message.limit;
   target.removed = false;
-  pool.RefreshTotals();
-  MarkDirty(pool);
+  pool.RecomputeCapacity();
+  MarkForScheduling(pool);
 }
 
 void Dispatcher::On(const TargetRemoved& message) {
@@ -207,7 +212,7 @@
     target->second.removed = true;
     target->second.usable = false;
   }
-  pool.RefreshTotals();
+  pool.RecomputeCapacity();
 }
 
 void Dispatcher::On(const RequestArrived& message) {
@@ -218,16 +223,16 @@
   ++counters_.accepted;
   auto it = pools_.find(message.pool);
   if (drain_deadline_) {
-    FinishUnqueued(message.request, Reason::kShuttingDown);
+    RefuseUnqueued(message.request, Reason::kShuttingDown);
     return;
   }
   if (it == pools_.end()) {
-    FinishUnqueued(message.request, Reason::kUnknownService);
+    RefuseUnqueued(message.request, Reason::kUnknownService);
     return;
   }
   Pool& pool = it->second;
-  AgeAttempts(pool);
-  RequestList& queue = pool.list(Place::kShortQueue);
+  MarkLongAttempts(pool);
+  RequestList& queue = pool.list(RequestPhase::kShortQueue);
   Request& request = queue.emplace_back();
   requests_.emplace(message.request, std::prev(queue.end()));
   request.id = message.request;
@@ -238,15 +243,15 @@
   request.arrived = now_;
   request.deadline = message.deadline;
   request.start_by =
-      now_ + Scale(message.deadline - now_, options_.early_refusal);
+      now_ + Scale(message.deadline - now_, options_.max_start_delay_share);
   request.long_class =
-      ClassifiesLong(options_.policy, pool.runs, *request.operation);
+      ClassifiesLong(options_.policy, pool.run_times, *request.operation);
   if (std::optional<Reason> reason = AdmissionRefusal(pool, request)) {
     Refuse(request, *reason);
     return;
   }
   Enqueue(request);
-  MarkDirty(pool);
+  MarkForScheduling(pool);
 }
 
 void Dispatcher::On(const RequestCancelled& message) {
@@ -255,7 +260,7 @@
     ++counters_.unknown_cancellations;
     return;
   }
-  Close(*it->second, Outcome::kCancelled, Reason::kCancelled);
+  FinishRequest(*it->second, Outcome::kCancelled, Reason::kCancelled);
 }
 
 void Dispatcher::On(const AttemptResult& message) {
@@ -267,11 +272,11 @@
     return;
   }
   Request& request = *it->second;
-  MarkDirty(*request.pool);
+  MarkForScheduling(*request.pool);
   if (message.outcome == AttemptOutcome::kCompleted) {
     Complete(request);
   } else {
-    Failed(request, message);
+    HandleFailure(request, message);
   }
 }
 
@@ -282,8 +287,6 @@
       std::min(drain_deadline_.value_or(kTimeMax), message.grace_deadline);
 }
 
-// Admission.
-
 std::optional<Reason> Dispatcher::AdmissionRefusal(
     const Pool& pool,
     const Request& request) const {
@@ -293,26 +296,29 @@
   if (request.deadline <= now_) {
     return Reason::kDeadline;
   }
-  // A free slot is used even if the learned run time exceeds the deadline: a
-  // pool that is refused all work would never show that it is fast again.
+  // A free slot is used even if the expected run time exceeds the time to the
+  // deadline. Otherwise a slow pool would get no requests, and its run times
+  // would never be seen to improve.
   if (pool.free > 0) {
     return std::nullopt;
   }
-  const RunTimes& runs = request.operation->runs.samples() < kOperationSamples
-                             ? pool.runs
-                             : request.operation->runs;
+  const RunTimes& run_times =
+      request.operation->run_times.samples() < kMinOperationSamples
+          ? pool.run_times
+          : request.operation->run_times;
   Time latest_start =
-      std::min(request.start_by, request.deadline - runs.Quantile(0.5));
-  // The request itself is in the queue already.
+      std::min(request.start_by, request.deadline - run_times.Quantile(0.5));
+  // waiting() counts the request itself, hence `>`.
   if (pool.waiting() > pool.queue_limit) {
     return Reason::kQueueFull;
   }
-  size_t ahead = request.long_class ? pool.waiting()
-                                    : pool.list(Place::kShortQueue).size();
-  // Half of the time is left for errors of the prediction.
+  size_t ahead = request.long_class
+                     ? pool.waiting()
+                     : pool.list(RequestPhase::kShortQueue).size();
+  // Half of the time to the latest start is a margin for estimation errors.
   Duration queue_time =
       std::min((latest_start - now_) / 2,
-               std::max(options_.max_queue_time, pool.runs.mean()));
+               std::max(options_.max_queue_time, pool.run_times.mean()));
   if (pool.QueueTime(ahead) > queue_time) {
     return Reason::kTooLate;
   }
@@ -327,34 +333,32 @@
   return pool.operations[pool.operations.size() < kMaxOperations ? name : ""];
 }
 
-// Placement.
-
-void Dispatcher::MarkDirty(Pool& pool) {
-  if (!pool.dirty) {
-    pool.dirty = true;
-    dirty_.push_back(&pool);
+void Dispatcher::MarkForScheduling(Pool& pool) {
+  if (!pool.needs_scheduling) {
+    pool.needs_scheduling = true;
+    pools_to_schedule_.push_back(&pool);
   }
 }
 
-void Dispatcher::PumpDirty() {
-  for (Pool* pool : dirty_) {
-    Pump(*pool);
+void Dispatcher::SchedulePools() {
+  for (Pool* pool : pools_to_schedule_) {
+    Schedule(*pool);
     CheckPool(*pool);
-    pool->dirty = false;
+    pool->needs_scheduling = false;
     RemoveIfIdle(*pool);
   }
-  dirty_.clear();
+  pools_to_schedule_.clear();
 }
 
-void Dispatcher::Pump(Pool& pool) {
-  AgeAttempts(pool);
-  AddRestartBudget(
-      pool, 0,
-      pool.idle * static_cast<double>((now_ - pool.pumped_at).count()));
+void Dispatcher::Schedule(Pool& pool) {
+  MarkLongAttempts(pool);
+  AddRestartBudget(pool, 0,
+                   pool.idle_slots * static_cast<double>(
+                                         (now_ - pool.last_scheduled).count()));
   while (StartNext(pool) || RestartOne(pool)) {
   }
-  pool.idle = pool.free;
-  pool.pumped_at = now_;
+  pool.idle_slots = pool.free;
+  pool.last_scheduled = now_;
   SetPoolTimer(pool);
 }
 
@@ -362,20 +366,20 @@
   if (pool.free == 0) {
     return false;
   }
-  const RequestList& long_queue = pool.list(Place::kLongQueue);
+  const RequestList& long_queue = pool.list(RequestPhase::kLongQueue);
   bool long_waits = !long_queue.empty();
-  if (long_waits && now_ >= LongOverdueAt(long_queue.front()) &&
-      StartFront(pool, Place::kLongQueue)) {
+  if (long_waits && now_ >= OverdueTime(long_queue.front()) &&
+      StartFront(pool, RequestPhase::kLongQueue)) {
     return true;
   }
-  if (StartFront(pool, Place::kShortQueue)) {
+  if (StartFront(pool, RequestPhase::kShortQueue)) {
     return true;
   }
   return long_waits && LongMayStart(pool) &&
-         StartFront(pool, Place::kLongQueue);
+         StartFront(pool, RequestPhase::kLongQueue);
 }
 
-bool Dispatcher::StartFront(Pool& pool, Place queue) {
+bool Dispatcher::StartFront(Pool& pool, RequestPhase queue) {
   if (pool.list(queue).empty()) {
     return false;
   }
@@ -393,13 +397,14 @@
 }
 
 bool Dispatcher::LongMayStart(const Pool& pool) const {
-  int reserved = static_cast<int>(
+  int reserved_slots = static_cast<int>(
       std::ceil(ReservedShare(options_.policy) * pool.capacity));
-  return pool.free > std::min(reserved, pool.capacity / 2);
+  return pool.free > std::min(reserved_slots, pool.capacity / 2);
 }
 
-// Bounds how long short work can hold back the long class.
-Time Dispatcher::LongOverdueAt(const Request& request) const {
+// Returns when a request of the long class goes ahead of the short class.
+// Bounds how long short requests can delay long ones.
+Time Dispatcher::OverdueTime(const Request& request) const {
   return request.restarted
              ? request.arrived + (request.deadline - request.arrived) / 4
              : request.arrived + (request.start_by - request.arrived) / 2;
@@ -417,9 +422,9 @@
   bool avoid_leaving =
       some_leaving && some_staying &&
       (request.long_class ||
-       ClassifiesLong(LearnedQuantiles{}, pool.runs, *request.operation));
+       ClassifiesLong(LearnedQuantiles{}, pool.run_times, *request.operation));
   Target* best = nullptr;
-  // Compared in order; smaller is better.
+  // Compared lexicographically; smaller is better.
   std::array<double, 3> best_rank{};
   uint64_t ties = 0;
   for (auto& [host, target] : pool.targets) {
@@ -427,7 +432,7 @@
       continue;
     }
     std::array<double, 3> rank = {
-        Contains(request.tried, host) ? 1.0 : 0.0,
+        Contains(request.hosts_tried, host) ? 1.0 : 0.0,
         target.local_zone ? 0.0 : 1.0,
         static_cast<double>(target.in_flight) / target.limit};
     if (best != nullptr && rank > best_rank) {
@@ -447,12 +452,12 @@
                        now_ < request.deadline);
   RADISHMOOR_INVARIANT(
       "dispatch.at-most-once",
-      request.idempotent || request.attempts == request.proven_not_run);
+      request.idempotent || request.attempts == request.attempts_not_run);
   RADISHMOOR_INVARIANT("dispatch.target-limit", target.free() > 0);
   if (request.attempts == 0) {
     ++counters_.first_attempts;
     retry_tokens_ =
-        std::min(options_.retry_burst, retry_tokens_ + options_.retry_share);
+        std::min(options_.retry_burst, retry_tokens_ + options_.retry_ratio);
   }
   ++request.attempts;
   ++target.in_flight;
@@ -460,30 +465,33 @@
   ++request.operation->in_flight;
   request.target = &target;
   request.sent_at = now_;
-  AddUnique(request.tried, target.host);
+  AddUnique(request.hosts_tried, target.host);
   bool known_long = request.long_class && MayRestart(request);
-  Move(request, known_long ? Place::kRestartable : Place::kYoung);
+  SetPhase(request, known_long ? RequestPhase::kInFlightRestartable
+                               : RequestPhase::kInFlightShort);
   SetTimer(request, request.deadline);
   actions_.push_back(SendAttempt{request.id, request.attempts, target.host});
 }
 
-void Dispatcher::Move(Request& request, Place place) {
-  RequestList& to = request.pool->list(place);
-  to.splice(to.end(), request.pool->list(request.place),
+void Dispatcher::SetPhase(Request& request, RequestPhase phase) {
+  RequestList& to = request.pool->list(phase);
+  to.splice(to.end(), request.pool->list(request.phase),
             requests_.find(request.id)->second);
-  request.place = place;
+  request.phase = phase;
 }
 
-// A request that was sent before goes ahead of those that were not.
+// Puts the request into the queue of its class: a retry at the front, new
+// requests and restarts at the back.
 void Dispatcher::Enqueue(Request& request) {
   request.queued_at = now_;
-  Move(request, request.long_class ? Place::kLongQueue : Place::kShortQueue);
+  SetPhase(request, request.long_class ? RequestPhase::kLongQueue
+                                       : RequestPhase::kShortQueue);
   if (request.attempts == 0) {
     SetTimer(request, std::min(request.start_by, request.deadline));
     return;
   }
   if (!request.restarted) {
-    RequestList& queue = request.pool->list(request.place);
+    RequestList& queue = request.pool->list(request.phase);
     queue.splice(queue.begin(), queue, std::prev(queue.end()));
   }
   SetTimer(request, request.deadline);
@@ -496,9 +504,9 @@
   --target.in_flight;
   pool.free += target.free();
   --request.operation->in_flight;
-  if (request.aged) {
-    --request.operation->aged_in_flight;
-    request.aged = false;
+  if (request.counted_as_long) {
+    --request.operation->long_in_flight;
+    request.counted_as_long = false;
   }
   request.target = nullptr;
   if (target.removed && target.in_flight == 0) {
@@ -506,19 +514,18 @@
   }
 }
 
-// Long work.
-
-void Dispatcher::AgeAttempts(Pool& pool) {
+void Dispatcher::MarkLongAttempts(Pool& pool) {
   if (!pool.long_threshold) {
     return;
   }
-  RequestList& young = pool.list(Place::kYoung);
-  while (!young.empty() &&
-         young.front().sent_at + *pool.long_threshold <= now_) {
-    Request& request = young.front();
-    ++request.operation->aged_in_flight;
-    request.aged = true;
-    Move(request, MayRestart(request) ? Place::kRestartable : Place::kAged);
+  RequestList& in_flight_short = pool.list(RequestPhase::kInFlightShort);
+  while (!in_flight_short.empty() &&
+         in_flight_short.front().sent_at + *pool.long_threshold <= now_) {
+    Request& request = in_flight_short.front();
+    ++request.operation->long_in_flight;
+    request.counted_as_long = true;
+    SetPhase(request, MayRestart(request) ? RequestPhase::kInFlightRestartable
+                                          : RequestPhase::kInFlightLong);
   }
 }
 
@@ -529,52 +536,57 @@
 
 bool Dispatcher::RestartOne(Pool& pool) {
   const auto* policy = std::get_if<RestartLong>(&options_.policy);
-  if (policy == nullptr || drain_deadline_ || now_ < pool.no_restart_before ||
-      (policy->on_demand && pool.list(Place::kShortQueue).empty()) ||
-      static_cast<double>(pool.list(Place::kLongQueue).size()) >=
-          policy->max_waiting * pool.capacity) {
+  if (policy == nullptr || drain_deadline_ ||
+      now_ < pool.restarts_suspended_until ||
+      (policy->on_demand && pool.list(RequestPhase::kShortQueue).empty()) ||
+      static_cast<double>(pool.list(RequestPhase::kLongQueue).size()) >=
+          policy->max_long_waiting_per_slot * pool.capacity) {
     return false;
   }
-  // The youngest attempt loses the least run time.
-  Request* youngest = nullptr;
-  for (Request& request : pool.list(Place::kRestartable)) {
+  // Aborting the attempt that was sent last discards the least run time.
+  Request* latest = nullptr;
+  for (Request& request : pool.list(RequestPhase::kInFlightRestartable)) {
     bool frees_slot = request.target->usable &&
                       request.target->in_flight <= request.target->limit;
-    bool repeats_by_age = !policy->on_demand && request.long_class;
-    if (frees_slot && !repeats_by_age &&
+    bool skip_long_class = !policy->on_demand && request.long_class;
+    if (frees_slot && !skip_long_class &&
         now_ < request.arrived + (request.deadline - request.arrived) / 4 &&
-        (youngest == nullptr || request.sent_at > youngest->sent_at)) {
-      youngest = &request;
+        (latest == nullptr || request.sent_at > latest->sent_at)) {
+      latest = &request;
     }
   }
-  if (youngest == nullptr) {
+  if (latest == nullptr) {
     return false;
   }
-  auto lost = static_cast<double>((now_ - youngest->sent_at).count());
-  if (lost > pool.restart_budget) {
+  auto lost_us = static_cast<double>((now_ - latest->sent_at).count());
+  if (lost_us > pool.restart_budget_us) {
     return false;
   }
-  pool.restart_budget -= lost;
-  Restart(*youngest);
+  pool.restart_budget_us -= lost_us;
+  Restart(*latest);
   return true;
 }
 
-void Dispatcher::AddRestartBudget(Pool& pool, double completed, double idle) {
+void Dispatcher::AddRestartBudget(Pool& pool,
+                                  double completed_us,
+                                  double idle_us) {
   const auto* policy = std::get_if<RestartLong>(&options_.policy);
   if (policy == nullptr || !pool.long_threshold) {
     return;
   }
-  double most = kRestartBurst * std::max(kMinBurstSlots, pool.capacity) *
-                static_cast<double>(pool.long_threshold->count());
-  pool.restart_budget =
-      std::min(most, pool.restart_budget + policy->waste * completed +
-                         policy->idle_credit * idle);
+  double max_budget_us = kRestartBudgetPerSlot *
+                         std::max(kMinRestartBudgetSlots, pool.capacity) *
+                         static_cast<double>(pool.long_threshold->count());
+  pool.restart_budget_us =
+      std::min(max_budget_us, pool.restart_budget_us +
+                                  policy->max_lost_share * completed_us +
+                                  policy->idle_credit * idle_us);
 }
 
-void Dispatcher::SuspendRestarts(Pool& pool, const Target& target) {
+void Dispatcher::SuspendRestartsIfFutile(Pool& pool, const Target& target) {
   if (target.last_restart != kTimeZero &&
-      now_ - target.last_restart <= kRestartMemory) {
-    pool.no_restart_before = now_ + kRestartPause;
+      now_ - target.last_restart <= kAbortEffectWindow) {
+    pool.restarts_suspended_until = now_ + kRestartPause;
   }
 }
 
@@ -591,68 +603,67 @@
 
 void Dispatcher::SetPoolTimer(Pool& pool) {
   Time at = kTimeMax;
-  const RequestList& young = pool.list(Place::kYoung);
-  const auto* restart = std::get_if<RestartLong>(&options_.policy);
-  if (restart != nullptr && pool.long_threshold && !young.empty() &&
-      (!restart->on_demand || !pool.list(Place::kShortQueue).empty())) {
-    at = young.front().sent_at + *pool.long_threshold;
+  const RequestList& in_flight_short = pool.list(RequestPhase::kInFlightShort);
+  const auto* policy = std::get_if<RestartLong>(&options_.policy);
+  if (policy != nullptr && pool.long_threshold && !in_flight_short.empty() &&
+      (!policy->on_demand || !pool.list(RequestPhase::kShortQueue).empty())) {
+    at = in_flight_short.front().sent_at + *pool.long_threshold;
   }
-  const RequestList& long_queue = pool.list(Place::kLongQueue);
+  const RequestList& long_queue = pool.list(RequestPhase::kLongQueue);
   if (pool.free > 0 && !long_queue.empty()) {
-    at = std::min(at, std::max(LongOverdueAt(long_queue.front()),
-                               now_ + Milliseconds(1)));
+    at = std::min(
+        at, std::max(OverdueTime(long_queue.front()), now_ + Milliseconds(1)));
   }
-  if (at == pool.timer) {
+  if (at == pool.timer_at) {
     return;
   }
-  pool.timer = at;
+  pool.timer_at = at;
   if (at != kTimeMax) {
     PushTimer({.at = at, .pool = &pool});
   }
 }
 
-// Failures.
-
-void Dispatcher::Failed(Request& request, const AttemptResult& result) {
+void Dispatcher::HandleFailure(Request& request, const AttemptResult& result) {
   bool not_run = result.outcome == AttemptOutcome::kNotRun ||
                  result.outcome == AttemptOutcome::kFailedBeforeWrite;
   if (result.outcome == AttemptOutcome::kNotRun) {
-    SuspendRestarts(*request.pool, *request.target);
+    SuspendRestartsIfFutile(*request.pool, *request.target);
   }
   ReleaseTarget(request);
   if (not_run) {
-    ++request.proven_not_run;
+    ++request.attempts_not_run;
   } else {
-    AddUnique(request.failed, result.host);
-    RememberFailure(request);
-  }
-  Duration backoff = Scale(options_.backoff * (1 << (request.attempts - 1)),
-                           0.5 + random_.Unit());
-  if (!result.retried_below && MayRetry(request, not_run, backoff)) {
-    Move(request, Place::kBackoff);
+    AddUnique(request.hosts_failed, result.host);
+    RecordFailure(request);
+  }
+  Duration backoff =
+      Scale(options_.initial_backoff * (1 << (request.attempts - 1)),
+            0.5 + random_.Unit());
+  if (!result.retried_by_lower_layer && MayRetry(request, not_run, backoff)) {
+    SetPhase(request, RequestPhase::kBackoff);
     SetTimer(request, now_ + backoff);
     return;
   }
-  if (request.attempts == request.proven_not_run) {
+  if (request.attempts == request.attempts_not_run) {
     Refuse(request, Reason::kNoBackend);
     return;
   }
   Refuse(request,
-         JobIsAtFault(request) ? Reason::kJobFailed : Reason::kBackendFailed);
+         IsPoison(request) ? Reason::kJobFailed : Reason::kBackendFailed);
 }
 
 bool Dispatcher::MayRetry(const Request& request,
                           bool not_run,
                           Duration backoff) {
   bool repeatable = request.idempotent ||
-                    (not_run && request.attempts == request.proven_not_run);
+                    (not_run && request.attempts == request.attempts_not_run);
   if (!repeatable || request.attempts >= options_.max_attempts ||
       request.pool->removed || now_ + backoff >= request.deadline ||
-      JobIsAtFault(request)) {
+      IsPoison(request)) {
     return false;
   }
   if (retry_tokens_ < 1) {
-    ++counters_.retries_without_budget;
+    ++counters_.retries_denied_by_budget;
     return false;
   }
   retry_tokens_ -= 1;
@@ -660,69 +671,70 @@
   return true;
 }
 
-void Dispatcher::RememberFailure(const Request& request) {
+void Dispatcher::RecordFailure(const Request& request) {
   if (request.job_key == 0) {
     return;
   }
-  auto [it, inserted] = job_failures_.try_emplace(request.job_key);
-  JobFailures& job = it->second;
-  if (now_ - job.last > kJobMemory) {
+  auto [it, inserted] = content_failures_.try_emplace(request.job_key);
+  ContentFailures& job = it->second;
+  if (now_ - job.last > kFailureRecordLifetime) {
     job.hosts.clear();
   }
   job.last = now_;
-  if (job.hosts.size() < options_.job_failure_hosts) {
-    AddUnique(job.hosts, request.failed.back());
+  if (job.hosts.size() < options_.min_poison_hosts) {
+    AddUnique(job.hosts, request.hosts_failed.back());
   }
   if (!inserted) {
     return;
   }
-  job_order_.push_back(request.job_key);
-  if (job_order_.size() > kMaxJobs) {
-    job_failures_.erase(job_order_.front());
-    job_order_.pop_front();
+  content_failure_order_.push_back(request.job_key);
+  if (content_failure_order_.size() > kMaxFailureRecords) {
+    content_failures_.erase(content_failure_order_.front());
+    content_failure_order_.pop_front();
   }
 }
 
-bool Dispatcher::JobIsAtFault(const Request& request) const {
+bool Dispatcher::IsPoison(const Request& request) const {
   size_t needed = std::max<size_t>(
-      2, std::min(options_.job_failure_hosts, request.pool->targets.size()));
-  if (request.failed.size() >= needed) {
+      2, std::min(options_.min_poison_hosts, request.pool->targets.size()));
+  if (request.hosts_failed.size() >= needed) {
     return true;
   }
-  auto it = job_failures_.find(request.job_key);
-  return it != job_failures_.end() && it->second.hosts.size() >= needed &&
-         now_ - it->second.last <= kJobMemory;
+  auto it = content_failures_.find(request.job_key);
+  return it != content_failures_.end() && it->second.hosts.size() >= needed &&
+         now_ - it->second.last <= kFailureRecordLifetime;
 }
 
-// Outcomes.
-
 void Dispatcher::Complete(Request& request) {
   Duration run = now_ - request.sent_at;
   Pool& pool = *request.pool;
   ReleaseTarget(request);
-  pool.runs.Add(run);
-  request.operation->runs.Add(run);
-  if (pool.runs.samples() % kThresholdRefresh == 0) {
-    pool.long_threshold = LongThreshold(pool.runs);
+  pool.run_times.Add(run);
+  request.operation->run_times.Add(run);
+  if (pool.run_times.samples() % kThresholdRefreshSamples == 0) {
+    pool.long_threshold = LongThreshold(pool.run_times);
   }
   AddRestartBudget(pool, static_cast<double>(run.count()), 0);
   if (request.job_key != 0) {
-    auto it = job_failures_.find(request.job_key);
-    if (it != job_failures_.end()) {
+    auto it = content_failures_.find(request.job_key);
+    if (it != content_failures_.end()) {
       it->second.hosts.clear();
     }
   }
-  Close(request, Outcome::kCompleted, Reason::kNone);
+  FinishRequest(request, Outcome::kCompleted, Reason::kNone);
 }
 
 void Dispatcher::Refuse(Request& request, Reason reason) {
-  Close(request,
-        request.attempts == request.proven_not_run ? Outcome::kRefused
-                                                   : Outcome::kUnknown,
-        reason);
+  FinishRequest(request,
+                request.attempts == request.attempts_not_run
+                    ? Outcome::kRefused
+                    : Outcome::kUnknown,
+                reason);
 }
 
-void Dispatcher::Close(Request& request, Outcome outcome, Reason reason) {
+void Dispatcher::FinishRequest(Request& request,
+                               Outcome outcome,
+                               Reason reason) {
   Pool& pool = *request.pool;
   if (request.target != nullptr) {
     actions_.push_back(
@@ -731,28 +743,30 @@
   }
   RADISHMOOR_INVARIANT("dispatch.not-run-is-true",
                        outcome != Outcome::kRefused ||
-                           request.attempts == request.proven_not_run);
+                           request.attempts == request.attempts_not_run);
   actions_.push_back(Finish{
       request.id, outcome, reason,
       outcome == Outcome::kRefused ? RetryAfter(&pool, reason) : Duration(0),
-      std::move(request.failed)});
+      std::move(request.hosts_failed)});
   ++counters_.outcomes[static_cast<size_t>(outcome)];
-  MarkDirty(pool);
+  MarkForScheduling(pool);
   auto it = requests_.find(request.id);
-  pool.list(request.place).erase(it->second);
+  pool.list(request.phase).erase(it->second);
   requests_.erase(it);
 }
 
-void Dispatcher::FinishUnqueued(RequestId request, Reason reason) {
+void Dispatcher::RefuseUnqueued(RequestId request, Reason reason) {
   actions_.push_back(Finish{
       request, Outcome::kRefused, reason, RetryAfter(nullptr, reason), {}});
   ++counters_.outcomes[static_cast<size_t>(Outcome::kRefused)];
 }
 
 void Dispatcher::RefuseWaiting(Pool& pool, Reason reason) {
-  for (Place place : {Place::kShortQueue, Place::kLongQueue, Place::kBackoff}) {
-    while (!pool.list(place).empty()) {
-      Refuse(pool.list(place).front(), reason);
+  for (RequestPhase phase :
+       {RequestPhase::kShortQueue, RequestPhase::kLongQueue,
+        RequestPhase::kBackoff}) {
+    while (!pool.list(phase).empty()) {
+      Refuse(pool.list(phase).front(), reason);
     }
   }
 }
@@ -774,11 +788,10 @@
   return random_.Between(base, 2 * base);
 }
 
-// Timers.
-
 void Dispatcher::SetTimer(Request& request, Time at) {
-  request.timer = ++generation_;
-  PushTimer({.at = at, .generation = generation_, .request = request.id});
+  request.timer_generation = ++last_timer_generation_;
+  PushTimer(
+      {.at = at, .generation = last_timer_generation_, .request = request.id});
 }
 
 void Dispatcher::PushTimer(Timer timer) {
@@ -788,10 +801,11 @@
 
 bool Dispatcher::Valid(const Timer& timer) const {
   if (timer.pool != nullptr) {
-    return timer.pool->timer == timer.at;
+    return timer.pool->timer_at == timer.at;
   }
   auto it = requests_.find(timer.request);
-  return it != requests_.end() && it->second->timer == timer.generation;
+  return it != requests_.end() &&
+         it->second->timer_generation == timer.generation;
 }
 
 void Dispatcher::RunTimers() {
@@ -810,21 +824,22 @@
 
 void Dispatcher::Fire(const Timer& timer) {
   if (timer.pool != nullptr) {
-    timer.pool->timer = kTimeMax;
-    MarkDirty(*timer.pool);
+    timer.pool->timer_at = kTimeMax;
+    MarkForScheduling(*timer.pool);
     return;
   }
   Request& request = *requests_.find(timer.request)->second;
   if (now_ >= request.deadline) {
     if (request.target != nullptr) {
-      // A lower bound; without it, work that always misses its deadline would
-      // never be known as long.
-      request.operation->runs.Add(now_ - request.sent_at);
-      request.pool->runs.Add(now_ - request.sent_at);
+      // The time until the abort is a lower bound of the run time. Without this
+      // sample, an operation that always misses its deadline would never be
+      // classified as long.
+      request.operation->run_times.Add(now_ - request.sent_at);
+      request.pool->run_times.Add(now_ - request.sent_at);
     }
     Refuse(request, Reason::kDeadline);
-  } else if (request.place == Place::kBackoff) {
-    MarkDirty(*request.pool);
+  } else if (request.phase == RequestPhase::kBackoff) {
+    MarkForScheduling(*request.pool);
     Enqueue(request);
   } else {
     Refuse(request,
@@ -832,8 +847,8 @@
   }
 }
 
-// Drops invalid timers at the top, so that next_wake() is exact, and all of
-// them once they outnumber the valid ones.
+// Drops invalid timers at the top of the heap, so that next_wake() is exact.
+// Drops all invalid timers once they may outnumber the valid ones.
 void Dispatcher::PruneTimers() {
   if (timers_.size() > 2 * (requests_.size() + pools_.size()) + 64) {
     std::erase_if(timers_, [this](const Timer& t) { return !Valid(t); });
--- a/radishmoor/dispatch/head_of_line.cc
+++ b/radishmoor/dispatch/head_of_line.cc
@@ -3,11 +3,11 @@
 namespace radishmoor::dispatch {
 namespace {
 
-// Short runs with an exponential distribution exceed 10 medians once in a
-// thousand; runs that are 100 times longer exceed them nine times in ten.
-constexpr int kLongFactor = 10;
-// Below this, one long run can move the median.
-constexpr uint64_t kMinSamples = 32;
+// Exponentially distributed short runs exceed 10 medians once in a thousand;
+// runs that are 100 times longer exceed them nine times in ten.
+constexpr int kLongRunMedians = 10;
+// With fewer samples, a single long run can shift the median.
+constexpr uint64_t kMinLongRunSamples = 32;
 
 template <typename... Cases>
 struct Overloaded : Cases... {
@@ -16,18 +16,18 @@
 template <typename... Cases>
 Overloaded(Cases...) -> Overloaded<Cases...>;
 
-bool MeanIsLong(Duration threshold, const OperationState& operation) {
-  return operation.runs.samples() >= kMinSamples &&
-         operation.runs.mean() >= threshold;
+bool MeanRunIsLong(Duration threshold, const OperationState& operation) {
+  return operation.run_times.samples() >= kMinLongRunSamples &&
+         operation.run_times.mean() >= threshold;
 }
 
 }  // namespace
 
 std::optional<Duration> LongThreshold(const RunTimes& pool) {
-  if (pool.samples() < kMinSamples) {
+  if (pool.samples() < kMinLongRunSamples) {
     return std::nullopt;
   }
-  return kLongFactor * pool.Quantile(0.5);
+  return kLongRunMedians * pool.Quantile(0.5);
 }
 
 bool ClassifiesLong(const HeadOfLinePolicy& policy,
@@ -44,21 +44,22 @@
       Overloaded{
           [](const Fifo&) { return false; },
           [&](const ReservedSlots&) {
-            return MeanIsLong(*threshold, operation);
+            return MeanRunIsLong(*threshold, operation);
           },
           [&](const AgeReclassification& age) {
-            return operation.aged_in_flight > 0 &&
-                   operation.aged_in_flight >=
-                       age.aged_share * operation.in_flight;
+            return operation.long_in_flight > 0 &&
+                   operation.long_in_flight >=
+                       age.long_attempt_share * operation.in_flight;
           },
           [&](const LearnedQuantiles& learned) {
-            return operation.runs.samples() >= kMinSamples &&
-                   operation.runs.Quantile(learned.quantile) >= *threshold;
+            return operation.run_times.samples() >= kMinLongRunSamples &&
+                   operation.run_times.Quantile(learned.quantile) >= *threshold;
           },
-          // Operations that are long as a rule need no restart to be known.
+          // An operation whose typical run is long is classified up front, so
+          // that its requests need no abort first.
           [&](const RestartLong&) {
-            return operation.runs.samples() >= kMinSamples &&
-                   operation.runs.Quantile(0.5) >= *threshold;
+            return operation.run_times.samples() >= kMinLongRunSamples &&
+                   operation.run_times.Quantile(0.5) >= *threshold;
           },
       },
       policy);
@@ -67,7 +68,7 @@
 double ReservedShare(const HeadOfLinePolicy& policy) {
   return std::visit(
       Overloaded{[](const Fifo&) { return 0.0; },
-                 [](const auto& other) { return other.reserved; }},
+                 [](const auto& other) { return other.reserved_share; }},
       policy);
 }
 
--- a/radishmoor/dispatch/head_of_line.h
+++ b/radishmoor/dispatch/head_of_line.h
@@ -1,11 +1,14 @@
-// Policies against head-of-line blocking of short work behind long work.
+// Policies that keep long requests from blocking the short ones behind them
+// (head-of-line blocking).
 //
 //   HeadOfLinePolicy policy = RestartLong{};
 //   bool is_long = ClassifiesLong(policy, pool_runs, operation);
 //
-// Work does not declare its run time, so every policy relies on what was
-// observed. A run is long when it takes `kLongFactor` times the median run
-// time of its pool.
+// Requests do not declare their run times, so every policy relies on observed
+// ones. An attempt is long if it runs for at least LongThreshold(), a multiple
+// of the median run time of its pool. A policy assigns each request to the
+// short or to the long class. Requests of the long class wait behind those of
+// the short class and leave the last `reserved_share` of the pool's slots free.
 
 #ifndef RADISHMOOR_DISPATCH_HEAD_OF_LINE_H_
 #define RADISHMOOR_DISPATCH_HEAD_OF_LINE_H_
@@ -18,44 +21,45 @@
 
 namespace radishmoor::dispatch {
 
-// One queue in order of arrival.
+// All requests are in one class and start in order of arrival.
 struct Fifo {};
 
-// Operations with a long mean run time may not use the last `reserved` share
-// of the slots.
+// An operation is long if its mean run time is at least the threshold.
 struct ReservedSlots {
-  double reserved = 0.1;
+  double reserved_share = 0.1;
 };
 
-// An operation is long while at least `aged_share` of its attempts in flight
-// have run for a long time. Long operations wait behind short ones.
+// An operation is long while at least `long_attempt_share` of its attempts in
+// flight are long.
 struct AgeReclassification {
-  double reserved = 0.1;
-  double aged_share = 0.9;
+  double reserved_share = 0.1;
+  double long_attempt_share = 0.9;
 };
 
-// An operation is long while its `quantile` is. Long operations wait behind
-// short ones.
+// An operation is long while the `quantile` of its run times is at least the
+// threshold.
 struct LearnedQuantiles {
-  double reserved = 0.1;
+  double reserved_share = 0.1;
   double quantile = 0.5;
 };
 
-// When short work waits and no slot is free, an idempotent attempt that has run
-// for a long time is aborted and its request restarted later in the long
-// class. The run time lost by aborts is at most `waste` of the completed run
-// time plus `idle_credit` of the idle slot time.
+// If a short request waits and no slot is free, a long attempt of an idempotent
+// request is aborted. The request is queued again in the long class. The run
+// time lost by aborts is at most `max_lost_share` of the completed run time
+// plus `idle_credit` of the time that slots were idle.
 struct RestartLong {
-  // With 0.1, restarted requests were soon aborted again; with 0.3, stragglers
-  // took twice as long as with 0.22.
-  double reserved = 0.22;
-  double waste = 0.02;
+  // With 0.1, restarted requests were soon aborted again. With 0.3, the slowest
+  // long requests took twice as long as with 0.22.
+  double reserved_share = 0.22;
+  double max_lost_share = 0.02;
   double idle_credit = 0.5;
-  // No restart while the long class has this many waiting requests per slot.
-  // Without a bound, the queue took 5 s to recover from a peak; with 0.25, one
-  // seed in five waited as long as with Fifo.
-  double max_waiting = 0.4;
-  bool on_demand = true;  // False: restart at the limit in any case.
+  // No attempt is aborted while the long class has this many waiting requests
+  // per slot. Without a bound, the queue took 5 s to recover from a peak. With
+  // 0.25, requests waited as long as with Fifo in one of five simulation runs.
+  double max_long_waiting_per_slot = 0.4;
+  // If false, an attempt is aborted as soon as it is long, even if no short
+  // request waits.
+  bool on_demand = true;
 };
 
 using HeadOfLinePolicy = std::variant<Fifo,
@@ -64,23 +68,23 @@
                                       LearnedQuantiles,
                                       RestartLong>;
 
-// What the dispatcher knows of one operation of a pool.
+// Observations of one operation of a pool.
 struct OperationState {
-  RunTimes runs;
-  int in_flight = 0;
-  int aged_in_flight = 0;  // Running for a long time already.
+  RunTimes run_times;
+  int in_flight = 0;       // Attempts.
+  int long_in_flight = 0;  // Attempts in flight that are long already.
 };
 
-// Run time from which an attempt counts as long; none while too few runs were
-// observed.
+// Returns the run time from which an attempt is long, or nullopt while `pool`
+// has too few samples.
 std::optional<Duration> LongThreshold(const RunTimes& pool);
 
-// True if a new request of the operation belongs to the long class.
+// Returns true if a new request of the operation belongs to the long class.
 bool ClassifiesLong(const HeadOfLinePolicy& policy,
                     const RunTimes& pool,
                     const OperationState& operation);
 
-// Share of the slots that the long class leaves free.
+// Returns the share of the slots that the long class leaves free.
 double ReservedShare(const HeadOfLinePolicy& policy);
 
 }  // namespace radishmoor::dispatch
--- a/radishmoor/dispatch/messages.h
+++ b/radishmoor/dispatch/messages.h
@@ -1,4 +1,5 @@
-// Messages into and actions out of the request dispatcher (dispatcher.h).
+// The messages that the request dispatcher (dispatcher.h) handles and the
+// actions that it returns.
 
 #ifndef RADISHMOOR_DISPATCH_MESSAGES_H_
 #define RADISHMOOR_DISPATCH_MESSAGES_H_
@@ -15,16 +16,16 @@
 
 namespace radishmoor::dispatch {
 
-// Adds or updates a pool. A closed pool refuses new requests and finishes the
-// ones that it has.
+// Adds or updates a pool. A closed pool refuses new requests and finishes those
+// that it has admitted.
 struct PoolSet {
   PoolId pool;
-  size_t queue_limit = 1000;  // Waiting requests.
+  size_t queue_limit = 1000;  // Maximum number of waiting requests.
   bool closed = false;
 };
 
-// Removes the pool and its hosts and refuses its waiting requests. Attempts in
-// flight finish.
+// Removes a pool with its hosts and refuses its waiting requests. Attempts in
+// flight are not aborted.
 struct PoolRemoved {
   PoolId pool;
 };
@@ -33,13 +34,13 @@
 struct TargetSet {
   PoolId pool;
   HostId host;
-  bool usable = true;  // New attempts may be sent.
-  bool local_zone = true;
-  int limit = 0;  // Attempts that this process may have in flight there.
-  bool leaving_soon = false;  // Due to leave; long work avoids it.
+  bool usable = true;      // New attempts may be sent to the host.
+  bool local_zone = true;  // The host is in the zone of this process.
+  int limit = 0;  // Maximum attempts of this process in flight to the host.
+  bool leaving_soon = false;  // Due for removal; long requests avoid the host.
 };
 
-// Attempts in flight to the host finish.
+// Removes a host from a pool. Attempts in flight to it are not aborted.
 struct TargetRemoved {
   PoolId pool;
   HostId host;
@@ -48,20 +49,22 @@
 struct RequestArrived {
   RequestId request;
   PoolId pool;
-  std::string operation;  // Run times are learned by pool and operation.
+  std::string operation;  // Run times are recorded by pool and operation.
   bool idempotent = false;
   Time deadline;
-  uint64_t job_key = 0;  // Hash of the work; 0 if it has no identity.
+  // Hash of the request's content. Failures of requests with the same hash are
+  // counted together. 0 if there is no hash.
+  uint64_t job_key = 0;
 };
 
-// The caller no longer wants the answer.
+// The caller no longer waits for the answer.
 struct RequestCancelled {
   RequestId request;
 };
 
 enum class AttemptOutcome : uint8_t {
   kCompleted,
-  kNotRun,             // The server says so: 503 not-run or 421.
+  kNotRun,             // The server answered 503 not-run or 421.
   kFailedBeforeWrite,  // No byte was written to a connection.
   kFailedAfterWrite,
   kLost,         // Timed out, or the connection was lost after the write.
@@ -73,14 +76,16 @@
   int attempt = 0;
   HostId host;
   AttemptOutcome outcome = AttemptOutcome::kCompleted;
-  // A lower layer already retried this attempt, so it is not retried again.
-  bool retried_below = false;
+  // A lower layer has already retried this attempt. The dispatcher does not
+  // retry it again.
+  bool retried_by_lower_layer = false;
 };
 
-// Runs the timers that are due at `now`.
+// Runs the timers that are due, as every other message does too.
 struct Tick {};
 
-// Shutdown: refuses new requests and, at `grace_deadline`, all others.
+// Starts the shutdown: new requests are refused, and those that have no outcome
+// by `grace_deadline` are ended then.
 struct DrainStarted {
   Time grace_deadline;
 };
@@ -95,16 +100,16 @@
                              Tick,
                              DrainStarted>;
 
-// Send the request to the host. Exactly one AttemptResult is expected, unless
-// an AbortAttempt for the same attempt follows.
+// Tells the caller to send the request to the host and to report exactly one
+// AttemptResult, unless an AbortAttempt for the same attempt follows.
 struct SendAttempt {
   RequestId request;
-  int attempt = 0;  // From 1.
+  int attempt = 0;  // The first attempt of a request is 1.
   HostId host;
 };
 
-// Close the attempt's connection. A result that is already under way is
-// ignored.
+// Tells the caller to close the attempt's connection. A result that arrives
+// afterwards is ignored.
 struct AbortAttempt {
   RequestId request;
   int attempt = 0;
@@ -113,35 +118,39 @@
 
 enum class Outcome : uint8_t {
   kCompleted,
-  kRefused,  // Did not run.
-  kUnknown,  // May have run.
+  kRefused,  // The request did not run.
+  kUnknown,  // The request may have run.
   kCancelled,
 };
 
 enum class Reason : uint8_t {
-  kNone,  // With kCompleted.
+  kNone,  // Used with Outcome::kCompleted.
   kQueueFull,
-  kTooLate,  // Cannot start in time.
+  kTooLate,  // The request cannot start in time.
   kNoBackend,
   kShuttingDown,
   kUnknownService,
   kDeadline,
   kBackendFailed,
-  kJobFailed,  // Failed on several different hosts: the fault of the job.
+  // Poison request: requests with this content failed on several hosts, so the
+  // fault lies in the request and not in the hosts.
+  kJobFailed,
   kCancelled,
 };
 
-// The code of the `Radishmoor-Reason` header.
+// Returns the value of the `Radishmoor-Reason` header.
 std::string_view ReasonCode(Reason reason);
 
-// The one outcome of a request.
+// Reports the outcome of a request, once for each request.
 struct Finish {
   RequestId request;
   Outcome outcome = Outcome::kCompleted;
   Reason reason = Reason::kNone;
-  Duration retry_after{};  // 0 if a repeat is of no use or not advised.
-  // Hosts on which the request failed. With kJobFailed, these failures should
-  // not count against the hosts.
+  // With kRefused, the delay after which the caller may repeat the request, or
+  // 0 if a repeat would be useless. 0 with the other outcomes.
+  Duration retry_after{};
+  // Hosts on which the request failed. With kJobFailed, these failures must not
+  // count against the hosts.
   std::vector<HostId> failed_hosts;
 };
 
--- a/radishmoor/dispatch/testing/dispatch_bench.cc
+++ b/radishmoor/dispatch/testing/dispatch_bench.cc
@@ -30,24 +30,24 @@
 
 constexpr int kHosts = 10;
 constexpr int kSlotsPerHost = 8;
-constexpr double kSlots = kHosts * kSlotsPerHost;
+constexpr double kTotalSlots = kHosts * kSlotsPerHost;
 constexpr double kLongShare = 0.015;
 constexpr Duration kShortMean = Milliseconds(10);
-constexpr double kMeanSeconds = 0.01 * (1 - kLongShare) + 1.0 * kLongShare;
+constexpr double kMeanRunSeconds = 0.01 * (1 - kLongShare) + 1.0 * kLongShare;
 const PoolId kPool("pool");
 
 struct Load {
   bool by_operation = false;
-  double base = 0.8;  // Of the capacity.
-  double peak = 0.8;
-  Duration before;
-  Duration peak_time;
-  Duration after;
+  double base_load = 0.8;  // Of the capacity.
+  double peak_load = 0.8;
+  Duration before_peak;
+  Duration peak_duration;
+  Duration after_peak;
   Duration deadline;
-  bool abort_frees = true;  // False: an aborted run goes on to its end.
+  bool abort_frees_slot = true;  // False: an aborted run goes on to its end.
 };
 
-struct Job {
+struct SimulatedRequest {
   Duration run;
   bool is_long = false;
   Time arrived;
@@ -55,7 +55,7 @@
   int attempt = 0;
 };
 
-using Figures = std::map<std::string, double>;
+using Measures = std::map<std::string, double>;
 
 double Quantile(std::vector<double>& values, double q) {
   if (values.empty()) {
@@ -72,7 +72,7 @@
   Simulation(const DispatchOptions& options, const Load& load, uint64_t seed)
       : load_(load), random_(seed), dispatcher_(options) {}
 
-  Figures Run() {
+  Measures Run() {
     dispatcher_.Handle(now_, PoolSet{.pool = kPool, .queue_limit = 4000});
     for (int i = 0; i < kHosts; ++i) {
       dispatcher_.Handle(now_, TargetSet{.pool = kPool,
@@ -83,13 +83,13 @@
     while (arrival < end_ || dispatcher_.live() > 0) {
       Time next = std::min(arrival < end_ ? arrival : kTimeMax,
                            dispatcher_.next_wake());
-      if (!finishes_.empty() && finishes_.top().at <= next) {
+      if (!completions_.empty() && completions_.top().at <= next) {
         FinishAttempt();
       } else if (next == arrival && arrival < end_) {
         now_ = arrival;
         Arrive();
-        double rate =
-            kSlots / kMeanSeconds * (InPeak(now_) ? load_.peak : load_.base);
+        double rate = kTotalSlots / kMeanRunSeconds *
+                      (InPeak(now_) ? load_.peak_load : load_.base_load);
         arrival += random_.Exponential(Duration(int64_t(1e6 / rate)));
       } else {
         now_ = next;
@@ -116,20 +116,20 @@
   // its length before the peak, or 10.
   void ObserveQueue() {
     auto waiting = static_cast<double>(dispatcher_.waiting(kPool));
-    if (now_ >= warm_ && now_ < peak_start_) {
-      usual_queue_.push_back(waiting);
+    if (now_ >= measure_start_ && now_ < peak_start_) {
+      queue_before_peak_.push_back(waiting);
     }
-    if (now_ >= peak_end_ && recovered_ == kTimeMax) {
-      if (normal_ < 0) {
-        normal_ = std::max(10.0, Quantile(usual_queue_, 0.99));
+    if (now_ >= peak_end_ && queue_recovered_at_ == kTimeMax) {
+      if (max_normal_queue_ < 0) {
+        max_normal_queue_ = std::max(10.0, Quantile(queue_before_peak_, 0.99));
       }
-      recovered_ = waiting <= normal_ ? now_ : kTimeMax;
+      queue_recovered_at_ = waiting <= max_normal_queue_ ? now_ : kTimeMax;
     }
   }
 
   void Arrive() {
     RequestId id{++last_id_};
-    Job& job = jobs_[id];
+    SimulatedRequest& job = live_requests_[id];
     job.is_long = random_.Chance(kLongShare);
     job.run = job.is_long
                   ? random_.Between(50 * kShortMean, 150 * kShortMean)
@@ -148,13 +148,14 @@
   }
 
   void FinishAttempt() {
-    Completion done = finishes_.top();
-    finishes_.pop();
+    Completion done = completions_.top();
+    completions_.pop();
     now_ = done.at;
-    busy_[done.host] -= done.outcome == AttemptOutcome::kCompleted &&
-                        !freed_.erase({done.request, done.attempt});
-    auto it = jobs_.find(done.request);
-    if (it == jobs_.end() || it->second.attempt != done.attempt) {
+    busy_slots_[done.host] -=
+        done.outcome == AttemptOutcome::kCompleted &&
+        !aborted_attempts_.erase({done.request, done.attempt});
+    auto it = live_requests_.find(done.request);
+    if (it == live_requests_.end() || it->second.attempt != done.attempt) {
       return;  // Aborted.
     }
     Apply(dispatcher_.Handle(now_, AttemptResult{.request = done.request,
@@ -166,67 +167,68 @@
   void Apply(const std::vector<Action>& actions) {
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<SendAttempt>(&action)) {
-        Job& job = jobs_.at(send->request);
+        SimulatedRequest& job = live_requests_.at(send->request);
         job.started = now_;
         job.attempt = send->attempt;
-        bool full = busy_[send->host] == kSlotsPerHost;
-        busy_[send->host] += !full;
-        finishes_.push(
+        bool full = busy_slots_[send->host] == kSlotsPerHost;
+        busy_slots_[send->host] += !full;
+        completions_.push(
             {now_ + (full ? Milliseconds(1) : job.run), send->request,
              send->attempt, send->host,
              full ? AttemptOutcome::kNotRun : AttemptOutcome::kCompleted});
       } else if (const auto* abort = std::get_if<AbortAttempt>(&action);
-                 abort != nullptr && load_.abort_frees) {
-        --busy_[abort->host];
-        freed_.insert({abort->request, abort->attempt});
+                 abort != nullptr && load_.abort_frees_slot) {
+        --busy_slots_[abort->host];
+        aborted_attempts_.insert({abort->request, abort->attempt});
       } else if (const auto* finish = std::get_if<Finish>(&action)) {
-        Record(jobs_.at(finish->request), *finish);
-        jobs_.erase(finish->request);
+        Record(live_requests_.at(finish->request), *finish);
+        live_requests_.erase(finish->request);
       }
     }
   }
 
-  void Record(const Job& job, const Finish& finish) {
-    if (job.arrived < warm_) {
+  void Record(const SimulatedRequest& job, const Finish& finish) {
+    if (job.arrived < measure_start_) {
       return;
     }
     if (finish.outcome != Outcome::kCompleted) {
       (job.is_long ? long_lost_ : short_lost_) += 1;
       if (finish.outcome == Outcome::kRefused) {
-        refusal_.push_back(ToSeconds(now_ - job.arrived) /
-                           ToSeconds(load_.deadline));
+        refusal_time_share_.push_back(ToSeconds(now_ - job.arrived) /
+                                      ToSeconds(load_.deadline));
       }
       return;
     }
     Duration overlap =
         std::min(now_, peak_end_) - std::max(job.started, peak_start_);
-    goodput_ += std::max(0.0, ToSeconds(overlap));
+    peak_slot_seconds_ += std::max(0.0, ToSeconds(overlap));
     completed_ += 1;
     if (!job.is_long && job.arrived >= peak_end_ &&
         job.started - job.arrived <= Milliseconds(1)) {
-      short_recovered_ = std::min(short_recovered_, job.arrived);
+      short_recovered_at_ = std::min(short_recovered_at_, job.arrived);
     }
     if (job.is_long) {
-      straggler_.push_back(ToSeconds(now_ - job.arrived));
+      long_response_s_.push_back(ToSeconds(now_ - job.arrived));
     } else {
-      wait_.push_back(ToMilliseconds(job.started - job.arrived));
+      short_wait_ms_.push_back(ToMilliseconds(job.started - job.arrived));
     }
   }
 
-  Figures Summary() {
-    Figures f;
-    f["wait_p50_ms"] = Quantile(wait_, 0.5);
-    f["wait_p99_ms"] = Quantile(wait_, 0.99);
-    f["wait_p999_ms"] = Quantile(wait_, 0.999);
-    f["completed_per_s"] = completed_ / ToSeconds(end_ - warm_);
-    f["goodput"] = goodput_ / (kSlots * ToSeconds(load_.peak_time));
-    f["straggler_p99_s"] = Quantile(straggler_, 0.99);
-    f["straggler_max_s"] = Quantile(straggler_, 1);
+  Measures Summary() {
+    Measures f;
+    f["wait_p50_ms"] = Quantile(short_wait_ms_, 0.5);
+    f["wait_p99_ms"] = Quantile(short_wait_ms_, 0.99);
+    f["wait_p999_ms"] = Quantile(short_wait_ms_, 0.999);
+    f["completed_per_s"] = completed_ / ToSeconds(end_ - measure_start_);
+    f["goodput"] =
+        peak_slot_seconds_ / (kTotalSlots * ToSeconds(load_.peak_duration));
+    f["straggler_p99_s"] = Quantile(long_response_s_, 0.99);
+    f["straggler_max_s"] = Quantile(long_response_s_, 1);
     f["short_lost"] = short_lost_;
     f["long_lost"] = long_lost_;
-    f["refusal_max"] = Quantile(refusal_, 1);
-    f["recovery_s"] = ToSeconds(recovered_ - peak_end_);
-    f["short_recovery_s"] = ToSeconds(short_recovered_ - peak_end_);
+    f["refusal_max"] = Quantile(refusal_time_share_, 1);
+    f["recovery_s"] = ToSeconds(queue_recovered_at_ - peak_end_);
+    f["short_recovery_s"] = ToSeconds(short_recovered_at_ - peak_end_);
     f["restarts"] = static_cast<double>(dispatcher_.counters().restarts);
     return f;
   }
@@ -235,21 +237,24 @@
   Random random_;
   Dispatcher dispatcher_;
   Time now_ = kTimeZero;
-  Time warm_ = kTimeZero + Seconds(5);
-  Time peak_start_ = kTimeZero + load_.before;
-  Time peak_end_ = peak_start_ + load_.peak_time;
-  Time end_ = peak_end_ + load_.after;
-  Time recovered_ = kTimeMax;
-  Time short_recovered_ = kTimeMax;
-  double normal_ = -1;
+  Time measure_start_ = kTimeZero + Seconds(5);
+  Time peak_start_ = kTimeZero + load_.before_peak;
+  Time peak_end_ = peak_start_ + load_.peak_duration;
+  Time end_ = peak_end_ + load_.after_peak;
+  Time queue_recovered_at_ = kTimeMax;
+  Time short_recovered_at_ = kTimeMax;
+  double max_normal_queue_ = -1;
   uint64_t last_id_ = 0;
-  std::unordered_map<RequestId, Job> jobs_;
+  std::unordered_map<RequestId, SimulatedRequest> live_requests_;
   std::priority_queue<Completion, std::vector<Completion>, std::greater<>>
-      finishes_;
-  std::map<HostId, int> busy_;
-  std::set<std::pair<RequestId, int>> freed_;  // Aborted; frees no slot again.
-  std::vector<double> wait_, straggler_, refusal_, usual_queue_;
-  double goodput_ = 0, completed_ = 0, short_lost_ = 0, long_lost_ = 0;
+      completions_;
+  std::map<HostId, int> busy_slots_;
+  std::set<std::pair<RequestId, int>>
+      aborted_attempts_;  // Aborted; frees no slot again.
+  std::vector<double> short_wait_ms_, long_response_s_, refusal_time_share_,
+      queue_before_peak_;
+  double peak_slot_seconds_ = 0, completed_ = 0, short_lost_ = 0,
+         long_lost_ = 0;
 };
 
 struct Variant {
@@ -272,7 +277,7 @@
     }
   }
   for (const Variant& variant : variants) {
-    std::vector<std::future<Figures>> runs;
+    std::vector<std::future<Measures>> runs;
     for (int seed = 1; seed <= seeds; ++seed) {
       runs.push_back(std::async(std::launch::async, [=] {
         DispatchOptions options = variant.options;
@@ -314,9 +319,9 @@
       {"restart-always", {.policy = RestartLong{.on_demand = false}}},
       {"restart-on-demand", {.policy = RestartLong{}}},
   };
-  Load steady{.before = Seconds(5),
-              .peak_time = Seconds(55),
-              .after = Seconds(0),
+  Load steady{.before_peak = Seconds(5),
+              .peak_duration = Seconds(55),
+              .after_peak = Seconds(0),
               .deadline = Seconds(20)};
   std::vector<std::string> steady_keys = {
       "wait_p50_ms",     "wait_p99_ms",     "wait_p999_ms",
@@ -327,19 +332,20 @@
   Compare("load 0.8, by-operation", steady, policies, steady_keys, seeds, json);
 
   steady.by_operation = false;
-  steady.abort_frees = false;
+  steady.abort_frees_slot = false;
   Compare("load 0.8, mixed, aborted runs go on", steady,
           {policies.front(), policies.back()}, steady_keys, seeds, json);
 
-  Load overload{.peak = 5,
-                .before = Seconds(25),
-                .peak_time = Seconds(5),
-                .after = Seconds(15),
+  Load overload{.peak_load = 5,
+                .before_peak = Seconds(25),
+                .peak_duration = Seconds(5),
+                .after_peak = Seconds(15),
                 .deadline = Seconds(10)};
   std::vector<Variant> queues = policies;
   queues.push_back({"tenth-only", {.max_queue_time = Seconds(60)}});
   queues.push_back(
-      {"full-deadline", {.early_refusal = 1, .max_queue_time = Seconds(60)}});
+      {"full-deadline",
+       {.max_start_delay_share = 1, .max_queue_time = Seconds(60)}});
   Compare("overload 5, mixed", overload, queues,
           {"goodput", "refusal_max", "short_recovery_s", "recovery_s",
            "completed_per_s", "wait_p99_ms", "straggler_max_s", "long_lost",
--- a/radishmoor/dispatch/testing/dispatch_soak_bench.cc
+++ b/radishmoor/dispatch/testing/dispatch_soak_bench.cc
@@ -16,21 +16,23 @@
 
 int main(int argc, char** argv) {
   using namespace radishmoor::dispatch;  // NOLINT: a main function
-  constexpr uint64_t kPart = 20'000;     // Events of one dispatcher.
+  constexpr uint64_t kEventsPerDispatcher =
+      20'000;  // Events of one dispatcher.
   uint64_t seed = 1;
   uint64_t events = 1'000'000;
   for (int i = 1; i + 1 < argc; i += 2) {
     (std::strcmp(argv[i], "--seed") == 0 ? seed : events) =
         std::strtoull(argv[i + 1], nullptr, 10);
   }
-  const std::vector<HeadOfLinePolicy> policies = {RestartLong{.waste = 1},
-                                                  Fifo{}, LearnedQuantiles{},
-                                                  AgeReclassification{}};
+  const std::vector<HeadOfLinePolicy> policies = {
+      RestartLong{.max_lost_share = 1}, Fifo{}, LearnedQuantiles{},
+      AgeReclassification{}};
   auto start = std::chrono::steady_clock::now();
-  for (uint64_t done = 0; done < events; done += kPart, ++seed) {
+  for (uint64_t done = 0; done < events; done += kEventsPerDispatcher, ++seed) {
     radishmoor::SetInvariantSeed(seed);
     try {
-      RandomDriver(seed, policies[seed % policies.size()]).Run(kPart);
+      RandomDriver(seed, policies[seed % policies.size()])
+          .Run(kEventsPerDispatcher);
     } catch (const std::exception& violation) {
       std::fprintf(stderr, "seed %llu: %s\n",
                    static_cast<unsigned long long>(seed), violation.what());
--- a/radishmoor/dispatch/testing/dispatcher_test.cc
+++ b/radishmoor/dispatch/testing/dispatcher_test.cc
@@ -13,8 +13,8 @@
 namespace {
 
 const PoolId kPool("tomato-desk");
-const HostId kA("a");
-const HostId kB("b");
+const HostId kHostA("a");
+const HostId kHostB("b");
 
 // One pool whose hosts have the same limit.
 struct Fixture {
@@ -28,7 +28,7 @@
     }
   }
 
-  void Do(const Message& message) {
+  void Deliver(const Message& message) {
     actions = dispatcher.Handle(now, message);
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<SendAttempt>(&action)) {
@@ -42,29 +42,32 @@
               Duration time = Seconds(10),
               bool idempotent = true,
               uint64_t job_key = 0) {
-    Do(RequestArrived{{id}, kPool, "op", idempotent, now + time, job_key});
+    Deliver(RequestArrived{{id}, kPool, "op", idempotent, now + time, job_key});
   }
-  void Answer(uint64_t id, AttemptOutcome outcome, bool retried_below = false) {
+  void Answer(uint64_t id,
+              AttemptOutcome outcome,
+              bool retried_by_lower_layer = false) {
     SendAttempt send = sent.at({id});
-    Do(AttemptResult{{id}, send.attempt, send.host, outcome, retried_below});
+    Deliver(AttemptResult{
+        {id}, send.attempt, send.host, outcome, retried_by_lower_layer});
   }
   void Advance(Duration by) {
     Time end = now + by;
     while (dispatcher.next_wake() <= end) {
       now = dispatcher.next_wake();
-      Do(Tick{});
+      Deliver(Tick{});
     }
     now = end;
   }
   // Lets `count` requests of the given run time complete one after another.
-  void Learn(int count, Duration run, uint64_t first_id = 100'000) {
+  void CompleteRuns(int count, Duration run, uint64_t first_id = 100'000) {
     for (int i = 0; i < count; ++i) {
       Arrive(first_id + i);
       now += run;
       Answer(first_id + i, AttemptOutcome::kCompleted);
     }
   }
-  bool Ended(uint64_t id, Outcome outcome, Reason reason) const {
+  bool FinishedWith(uint64_t id, Outcome outcome, Reason reason) const {
     auto it = finished.find({id});
     return it != finished.end() && it->second.outcome == outcome &&
            it->second.reason == reason;
@@ -86,8 +89,8 @@
       ReservedSlots{},
       AgeReclassification{},
       LearnedQuantiles{},
-      RestartLong{.waste = 1},
-      RestartLong{.waste = 1, .on_demand = false}};
+      RestartLong{.max_lost_share = 1},
+      RestartLong{.max_lost_share = 1, .on_demand = false}};
   bool restarted = false;
   bool retried = false;
   REQUIRE(rc::check([&] {
@@ -106,93 +109,93 @@
 // Guards against requests that leave the queue out of order or are sent beyond
 // a host's limit.
 TEST_CASE("waiting requests start in order of arrival as slots become free") {
-  Fixture f({kA});
+  Fixture f({kHostA});
   for (uint64_t id = 1; id <= 3; ++id) {
     f.Arrive(id);
     REQUIRE(f.sent.size() == 1);
   }
   f.Answer(1, AttemptOutcome::kCompleted);
-  REQUIRE(f.Ended(1, Outcome::kCompleted, Reason::kNone));
+  REQUIRE(f.FinishedWith(1, Outcome::kCompleted, Reason::kNone));
   REQUIRE(f.sent.contains({2}));
   REQUIRE(!f.sent.contains({3}));
 }
 
 // Guards against refusals that come too late for the caller to go elsewhere.
 TEST_CASE("a request that has not started within a tenth of its time ends") {
-  Fixture f({kA});
+  Fixture f({kHostA});
   f.Arrive(1);
   f.Arrive(2, Seconds(1));
   f.Advance(Milliseconds(99));
   REQUIRE(f.finished.empty());
   f.Advance(Milliseconds(1));
-  REQUIRE(f.Ended(2, Outcome::kRefused, Reason::kTooLate));
+  REQUIRE(f.FinishedWith(2, Outcome::kRefused, Reason::kTooLate));
 }
 
 // Guards against work queued that cannot start in time.
 TEST_CASE("admission refuses by observed run times") {
-  Fixture f({kA});
-  f.Learn(50, Milliseconds(100));
+  Fixture f({kHostA});
+  f.CompleteRuns(50, Milliseconds(100));
   f.Arrive(1);
   f.Arrive(2, Seconds(2));  // Expected wait 100 ms; must start within 200 ms.
   REQUIRE(f.finished.count({2}) == 0);
   f.Arrive(3, Seconds(2));
-  REQUIRE(f.Ended(3, Outcome::kRefused, Reason::kTooLate));
+  REQUIRE(f.FinishedWith(3, Outcome::kRefused, Reason::kTooLate));
   REQUIRE(f.finished.at({3}).retry_after > Duration(0));
   f.Answer(1, AttemptOutcome::kCompleted);
   f.Arrive(4, Milliseconds(50));  // A run takes 100 ms.
-  REQUIRE(f.Ended(4, Outcome::kRefused, Reason::kTooLate));
+  REQUIRE(f.FinishedWith(4, Outcome::kRefused, Reason::kTooLate));
 }
 
 // Guards against a pool that refuses everything after an outage, because the
 // time-outs were its last observed run times.
 TEST_CASE("a pool whose requests all timed out still serves") {
-  Fixture f({kA}, 10);
+  Fixture f({kHostA}, 10);
   for (uint64_t id = 1; id <= 100; ++id) {
     f.Arrive(id, Seconds(1));
     f.Advance(Seconds(1));
-    REQUIRE(f.Ended(id, Outcome::kUnknown, Reason::kDeadline));
+    REQUIRE(f.FinishedWith(id, Outcome::kUnknown, Reason::kDeadline));
   }
   f.Arrive(101, Milliseconds(500));
   REQUIRE(f.sent.contains({101}));
 }
 
 TEST_CASE("a closed pool refuses new requests and finishes its queue") {
-  Fixture f({kA});
+  Fixture f({kHostA});
   f.Arrive(1);
   f.Arrive(2);
-  f.Do(PoolSet{kPool, 100, true});
+  f.Deliver(PoolSet{kPool, 100, true});
   f.Arrive(3);
-  REQUIRE(f.Ended(3, Outcome::kRefused, Reason::kShuttingDown));
+  REQUIRE(f.FinishedWith(3, Outcome::kRefused, Reason::kShuttingDown));
   f.Answer(1, AttemptOutcome::kCompleted);
   REQUIRE(f.sent.contains({2}));
 }
 
 TEST_CASE("a full queue refuses") {
-  Fixture f({kA});
-  f.Do(PoolSet{kPool, 2});
+  Fixture f({kHostA});
+  f.Deliver(PoolSet{kPool, 2});
   for (uint64_t id = 1; id <= 4; ++id) {
     f.Arrive(id);
   }
-  REQUIRE(f.Ended(4, Outcome::kRefused, Reason::kQueueFull));
+  REQUIRE(f.FinishedWith(4, Outcome::kRefused, Reason::kQueueFull));
   REQUIRE(f.finished.size() == 1);
 }
 
 // Guards against a send after the process was paused beyond the deadline.
 TEST_CASE("the deadline is checked before a send") {
-  Fixture f({kA});
+  Fixture f({kHostA});
   f.Arrive(1, Seconds(100));
   f.Arrive(2, Seconds(1));
   f.now += Seconds(2);
   f.Answer(1, AttemptOutcome::kCompleted);
-  REQUIRE(f.Ended(2, Outcome::kRefused, Reason::kDeadline));
+  REQUIRE(f.FinishedWith(2, Outcome::kRefused, Reason::kDeadline));
   REQUIRE(!f.sent.contains({2}));
 }
 
 TEST_CASE("a deadline in flight ends as unknown and aborts the attempt") {
-  Fixture f({kA});
+  Fixture f({kHostA});
   f.Arrive(1, Seconds(1));
   f.Advance(Seconds(1));
-  REQUIRE(f.Ended(1, Outcome::kUnknown, Reason::kDeadline));
+  REQUIRE(f.FinishedWith(1, Outcome::kUnknown, Reason::kDeadline));
   REQUIRE(std::holds_alternative<AbortAttempt>(f.actions.at(0)));
   f.Arrive(2);
   REQUIRE(f.sent.contains({2}));
@@ -203,14 +206,14 @@
 TEST_CASE("only what did not run or is idempotent is sent again") {
   for (bool idempotent : {false, true}) {
     for (int kind = 1; kind <= 5; ++kind) {
-      Fixture f({kA, kB});
+      Fixture f({kHostA, kHostB});
       f.Arrive(1, Seconds(10), idempotent);
       HostId first = f.sent.at({1}).host;
       f.Answer(1, AttemptOutcome(kind));
       f.Advance(Milliseconds(100));
       bool not_run = kind <= 2;
       if (!idempotent && !not_run) {
-        REQUIRE(f.Ended(1, Outcome::kUnknown, Reason::kBackendFailed));
+        REQUIRE(f.FinishedWith(1, Outcome::kUnknown, Reason::kBackendFailed));
         continue;
       }
       REQUIRE(f.sent.at({1}).attempt == 2);
@@ -226,15 +229,15 @@
 }
 
 TEST_CASE("what a lower layer retried is not retried again") {
-  Fixture f({kA, kB});
+  Fixture f({kHostA, kHostB});
   f.Arrive(1);
   f.Answer(1, AttemptOutcome::kLost, true);
-  REQUIRE(f.Ended(1, Outcome::kUnknown, Reason::kBackendFailed));
+  REQUIRE(f.FinishedWith(1, Outcome::kUnknown, Reason::kBackendFailed));
 }
 
 // Guards against retry storms when every attempt fails.
 TEST_CASE("retries stay within a tenth of first attempts plus the burst") {
-  Fixture f({kA, kB}, 100);
+  Fixture f({kHostA, kHostB}, 100);
   for (uint64_t id = 1; id <= 500; ++id) {
     f.Arrive(id);
     for (int attempt = 0; attempt < 3 && !f.finished.contains({id});
@@ -249,7 +252,7 @@
 
 // Guards against retries in step, which arrive as one burst.
 TEST_CASE("retries are spread in time") {
-  Fixture f({kA, kB}, 10);
+  Fixture f({kHostA, kHostB}, 10);
   for (uint64_t id = 1; id <= 5; ++id) {
     f.Arrive(id);
   }
@@ -257,45 +260,45 @@
     f.Answer(id, AttemptOutcome::kLost);
   }
   f.now = f.dispatcher.next_wake();
-  f.Do(Tick{});
+  f.Deliver(Tick{});
   REQUIRE(f.actions.size() == 1);
 }
 
 // Guards against failures of a job being held against the hosts, and against
 // retrying such a job on every repeat.
 TEST_CASE("work that fails on several hosts is the job's failure") {
-  Fixture f({kA, kB, HostId("c")});
+  Fixture f({kHostA, kHostB, HostId("c")});
   f.Arrive(1, Seconds(10), true, 7);
   for (int i = 0; i < 3; ++i) {
     f.Answer(1, AttemptOutcome::kErrorAnswer);
     f.Advance(Milliseconds(100));
   }
-  REQUIRE(f.Ended(1, Outcome::kUnknown, Reason::kJobFailed));
+  REQUIRE(f.FinishedWith(1, Outcome::kUnknown, Reason::kJobFailed));
   REQUIRE(f.finished.at({1}).failed_hosts.size() == 3);
   f.Arrive(2, Seconds(10), true, 7);
   f.Answer(2, AttemptOutcome::kErrorAnswer);
-  REQUIRE(f.Ended(2, Outcome::kUnknown, Reason::kJobFailed));
+  REQUIRE(f.FinishedWith(2, Outcome::kUnknown, Reason::kJobFailed));
   f.Arrive(3);  // Without a job key.
   for (int i = 0; i < 3; ++i) {
     f.Answer(3, AttemptOutcome::kErrorAnswer);
     f.Advance(Milliseconds(100));
   }
-  REQUIRE(f.Ended(3, Outcome::kUnknown, Reason::kJobFailed));
+  REQUIRE(f.FinishedWith(3, Outcome::kUnknown, Reason::kJobFailed));
 }
 
 TEST_CASE("late and duplicate results change nothing") {
-  Fixture f({kA, kB});
+  Fixture f({kHostA, kHostB});
   f.Arrive(1);
   SendAttempt first = f.sent.at({1});
   f.Answer(1, AttemptOutcome::kLost);
   f.Advance(Milliseconds(100));
-  f.Do(AttemptResult{{1}, first.attempt, first.host});
-  f.Do(AttemptResult{{1}, 2, first.host});
+  f.Deliver(AttemptResult{{1}, first.attempt, first.host});
+  f.Deliver(AttemptResult{{1}, 2, first.host});
   REQUIRE(f.actions.empty());
   REQUIRE(f.finished.empty());
   REQUIRE(f.dispatcher.counters().stale_results == 2);
   f.Answer(1, AttemptOutcome::kCompleted);
-  f.Do(AttemptResult{{1}, 2, f.sent.at({1}).host});
+  f.Deliver(AttemptResult{{1}, 2, f.sent.at({1}).host});
   REQUIRE(f.dispatcher.counters().stale_results == 3);
 }
 
@@ -305,8 +308,8 @@
   auto cost = [](uint64_t count) {
     auto best = std::chrono::duration<double>::max();
     for (int round = 0; round < 3; ++round) {
-      Fixture f({kA});
-      f.Do(PoolSet{kPool, count});
+      Fixture f({kHostA});
+      f.Deliver(PoolSet{kPool, count});
       for (uint64_t id = 1; id <= count; ++id) {
         f.Arrive(id);
       }
@@ -325,68 +328,71 @@
 }
 
 TEST_CASE("a drain finishes what it can and refuses the rest at its deadline") {
-  Fixture f({kA});
+  Fixture f({kHostA});
   f.Arrive(1);
   f.Arrive(2);
   f.dispatcher.Drain(f.now, f.now + Milliseconds(500));
   f.Arrive(3);
-  REQUIRE(f.Ended(3, Outcome::kRefused, Reason::kShuttingDown));
+  REQUIRE(f.FinishedWith(3, Outcome::kRefused, Reason::kShuttingDown));
   f.Answer(1, AttemptOutcome::kCompleted);
   f.Arrive(4);
-  f.Do(TargetSet{kPool, kA, true, true, 2});
+  f.Deliver(TargetSet{kPool, kHostA, true, true, 2});
   REQUIRE(f.sent.contains({2}));
   f.Advance(Milliseconds(500));
-  REQUIRE(f.Ended(2, Outcome::kUnknown, Reason::kShuttingDown));
+  REQUIRE(f.FinishedWith(2, Outcome::kUnknown, Reason::kShuttingDown));
   REQUIRE(f.dispatcher.live() == 0);
 }
 
 // Guards against a planned removal that interrupts requests in flight (G7).
 TEST_CASE("removal of a pool or a host lets attempts in flight finish") {
-  Fixture f({kA, kB});
+  Fixture f({kHostA, kHostB});
   f.Arrive(1);
   f.Arrive(2);
   f.Arrive(3);
-  f.Do(TargetRemoved{kPool, f.sent.at({1}).host});
+  f.Deliver(TargetRemoved{kPool, f.sent.at({1}).host});
   REQUIRE(f.actions.empty());
-  f.Do(PoolRemoved{kPool});
-  REQUIRE(f.Ended(3, Outcome::kRefused, Reason::kShuttingDown));
+  f.Deliver(PoolRemoved{kPool});
+  REQUIRE(f.FinishedWith(3, Outcome::kRefused, Reason::kShuttingDown));
   REQUIRE(f.finished.size() == 1);
   f.Answer(1, AttemptOutcome::kCompleted);
   f.Answer(2, AttemptOutcome::kCompleted);
   REQUIRE(f.finished.size() == 3);
   f.Arrive(4);
-  REQUIRE(f.Ended(4, Outcome::kRefused, Reason::kUnknownService));
+  REQUIRE(f.FinishedWith(4, Outcome::kRefused, Reason::kUnknownService));
 }
 
 TEST_CASE("the local zone and the least loaded host are preferred") {
-  Fixture f({kA, kB, HostId("c")}, 8);
-  f.Do(TargetSet{kPool, kB, true, false, 8});
+  Fixture f({kHostA, kHostB, HostId("c")}, 8);
+  f.Deliver(TargetSet{kPool, kHostB, true, false, 8});
   for (uint64_t id = 1; id <= 16; id += 2) {
     f.Arrive(id);
     f.Arrive(id + 1);
-    REQUIRE(f.dispatcher.in_flight(kA) == f.dispatcher.in_flight(HostId("c")));
-    REQUIRE(f.dispatcher.in_flight(kB) == 0);
+    REQUIRE(f.dispatcher.in_flight(kHostA) ==
+            f.dispatcher.in_flight(HostId("c")));
+    REQUIRE(f.dispatcher.in_flight(kHostB) == 0);
   }
   f.Arrive(17);
-  REQUIRE(f.sent.at({17}).host == kB);
+  REQUIRE(f.sent.at({17}).host == kHostB);
 }
 
 // Guards against long work that holds up the maintenance of a host.
 TEST_CASE("long work avoids hosts that leave soon") {
-  Fixture f({kA, kB}, 100);
-  f.Learn(60, Milliseconds(10));
-  f.Do(TargetSet{kPool, kA, true, true, 100, true});
+  Fixture f({kHostA, kHostB}, 100);
+  f.CompleteRuns(60, Milliseconds(10));
+  f.Deliver(TargetSet{kPool, kHostA, true, true, 100, true});
   for (uint64_t id = 1; id <= 60; ++id) {
-    f.Do(RequestArrived{{id}, kPool, "archive", true, f.now + Seconds(99)});
+    f.Deliver(
+        RequestArrived{{id}, kPool, "archive", true, f.now + Seconds(99)});
   }
   f.now += Seconds(2);
   for (uint64_t id = 1; id <= 60; ++id) {
     f.Answer(id, AttemptOutcome::kCompleted);
   }
-  f.Learn(200, Milliseconds(10), 200'000);
+  f.CompleteRuns(200, Milliseconds(10), 200'000);
   for (uint64_t id = 301; id <= 320; ++id) {
-    f.Do(RequestArrived{{id}, kPool, "archive", true, f.now + Seconds(99)});
-    REQUIRE(f.sent.at({id}).host == kB);
+    f.Deliver(
+        RequestArrived{{id}, kPool, "archive", true, f.now + Seconds(99)});
+    REQUIRE(f.sent.at({id}).host == kHostB);
   }
 }
 
@@ -394,8 +400,8 @@
 // restarts of what must not run twice.
 TEST_CASE("long idempotent work is restarted when short work waits") {
   for (bool idempotent : {true, false}) {
-    Fixture f({kA}, 2);
-    f.Learn(200, Milliseconds(10));
+    Fixture f({kHostA}, 2);
+    f.CompleteRuns(200, Milliseconds(10));
     f.Arrive(1, Seconds(100), idempotent);
     f.Arrive(2, Seconds(100), false);
     f.Advance(Milliseconds(200));
@@ -412,14 +418,15 @@
     REQUIRE(!f.sent.contains({4}));
     REQUIRE(f.sent.at({1}).attempt == 2);  // Overdue work is not aborted.
     f.Answer(1, AttemptOutcome::kCompleted);
-    REQUIRE(f.Ended(1, Outcome::kCompleted, Reason::kNone));
+    REQUIRE(f.FinishedWith(1, Outcome::kCompleted, Reason::kNone));
   }
 }
 
 // Guards against restarts that cost throughput when there is no idle time.
 TEST_CASE("restarts stay within their budget") {
-  Fixture f({kA}, 1, {.policy = RestartLong{.waste = 0, .idle_credit = 0}});
-  f.Learn(200, Milliseconds(10));
+  Fixture f({kHostA}, 1,
+            {.policy = RestartLong{.max_lost_share = 0, .idle_credit = 0}});
+  f.CompleteRuns(200, Milliseconds(10));
   f.Arrive(1, Seconds(100));
   f.Advance(Milliseconds(500));
   f.Arrive(2);
@@ -429,8 +436,8 @@
 // Guards against aborts that only add load, because the hosts go on with the
 // aborted runs.
 TEST_CASE("restarts pause when the freed slot turns out to be busy") {
-  Fixture f({kA}, 10);
-  f.Learn(200, Milliseconds(10));
+  Fixture f({kHostA}, 10);
+  f.CompleteRuns(200, Milliseconds(10));
   for (uint64_t id = 1; id <= 10; ++id) {
     f.Arrive(id, Seconds(100));
   }
@@ -445,13 +452,13 @@
 
 // Guards against aborts that free no slot for the short work.
 TEST_CASE("nothing is restarted on a host above its limit") {
-  Fixture f({kA}, 10);
-  f.Learn(200, Milliseconds(10));
+  Fixture f({kHostA}, 10);
+  f.CompleteRuns(200, Milliseconds(10));
   for (uint64_t id = 1; id <= 10; ++id) {
     f.Arrive(id, Seconds(100));
   }
   f.Advance(Milliseconds(200));
-  f.Do(TargetSet{kPool, kA, true, true, 5});
+  f.Deliver(TargetSet{kPool, kHostA, true, true, 5});
   f.Arrive(11);
   REQUIRE(f.dispatcher.counters().restarts == 0);
 }
@@ -460,10 +467,11 @@
 TEST_CASE("operations that were long leave the reserved slots free") {
   for (const HeadOfLinePolicy& policy : std::vector<HeadOfLinePolicy>{
            ReservedSlots{}, LearnedQuantiles{}, RestartLong{}, Fifo{}}) {
-    Fixture f({kA}, 4, {.policy = policy});
-    f.Learn(200, Milliseconds(10));
+    Fixture f({kHostA}, 4, {.policy = policy});
+    f.CompleteRuns(200, Milliseconds(10));
     auto archive = [&](uint64_t id) {
-      f.Do(RequestArrived{{id}, kPool, "archive", false, f.now + Seconds(99)});
+      f.Deliver(
+          RequestArrived{{id}, kPool, "archive", false, f.now + Seconds(99)});
     };
     for (uint64_t id = 1; id <= 40; ++id) {
       archive(id);
@@ -481,10 +489,11 @@
 
 // Guards against new work of an operation whose runs in flight are long.
 TEST_CASE("an operation is long while its attempts in flight are") {
-  Fixture f({kA}, 4, {.policy = AgeReclassification{}});
-  f.Learn(200, Milliseconds(10));
+  Fixture f({kHostA}, 4, {.policy = AgeReclassification{}});
+  f.CompleteRuns(200, Milliseconds(10));
   auto archive = [&](uint64_t id) {
-    f.Do(RequestArrived{{id}, kPool, "archive", true, f.now + Seconds(99)});
+    f.Deliver(
+        RequestArrived{{id}, kPool, "archive", true, f.now + Seconds(99)});
   };
   for (uint64_t id = 1; id <= 3; ++id) {
     archive(id);
@@ -498,8 +507,8 @@
 
 // Guards against a peak that leaves seconds of postponed long work behind.
 TEST_CASE("restarts stop while much long work waits") {
-  Fixture f({kA}, 10, {.policy = RestartLong{.idle_credit = 1000}});
-  f.Learn(200, Milliseconds(10));
+  Fixture f({kHostA}, 10, {.policy = RestartLong{.idle_credit = 1000}});
+  f.CompleteRuns(200, Milliseconds(10));
   for (uint64_t id = 1; id <= 10; ++id) {
     f.Arrive(id, Seconds(100));
   }
--- a/radishmoor/dispatch/testing/random_driver.h
+++ b/radishmoor/dispatch/testing/random_driver.h
@@ -67,7 +67,7 @@
           [](const Attempt& a) { return a.state == Attempt::kNotRun; });
     }
   };
-  using Key = std::pair<PoolId, HostId>;
+  using TargetKey = std::pair<PoolId, HostId>;
 
   static void Check(bool holds, const std::string& violation) {
     if (!holds) {
@@ -87,9 +87,9 @@
     if (choice < 450) {
       Arrive(pool);
     } else if (choice < 850) {
-      Result();
+      ReportResult();
     } else if (choice < 900) {
-      StaleResult(host);
+      ReportStaleResult(host);
     } else if (choice < 940) {
       Cancel();
     } else if (choice < 970) {
@@ -99,7 +99,7 @@
                     random_.Chance(0.5),
                     static_cast<int>(random_.Below(5)),
                     random_.Chance(0.2)};
-      if (known_.contains(pool)) {
+      if (known_pools_.contains(pool)) {
         targets_[{pool, host}] = set.usable ? set.limit : 0;
       }
       Step(set);
@@ -107,13 +107,13 @@
       targets_.erase({pool, host});
       Step(TargetRemoved{pool, host});
     } else if (choice < 985) {
-      known_.insert_or_assign(pool, true);
+      known_pools_.insert_or_assign(pool, true);
       Step(PoolSet{pool, kQueueLimit, random_.Chance(0.2)});
     } else if (choice < 987) {
       std::erase_if(targets_, [&](const auto& entry) {
         return entry.first.first == pool;
       });
-      known_.erase(pool);
+      known_pools_.erase(pool);
       Step(PoolRemoved{pool});
     } else if (choice < 990) {
       for (int i = 0; i < 10; ++i) {
@@ -137,14 +137,14 @@
   }
 
   // A request that is live, with a bias to none in particular.
-  std::map<RequestId, Record>::iterator Any() {
+  std::map<RequestId, Record>::iterator AnyLiveRequest() {
     auto it = live_.lower_bound(
         {last_id_ - random_.Below(std::min<uint64_t>(last_id_, 60) + 1)});
     return it == live_.end() && !live_.empty() ? live_.begin() : it;
   }
 
-  void Result() {
-    auto it = Any();
+  void ReportResult() {
+    auto it = AnyLiveRequest();
     if (it == live_.end() || !it->second.in_flight()) {
       return;
     }
@@ -165,9 +165,9 @@
   }
 
   // Wrong attempt, wrong host or no such request.
-  void StaleResult(const HostId& host) {
+  void ReportStaleResult(const HostId& host) {
     Step(Tick{});
-    auto it = Any();
+    auto it = AnyLiveRequest();
     RequestId id = it == live_.end() ? RequestId{1} : it->first;
     int attempt = static_cast<int>(random_.Below(4));
     if (it != live_.end() && it->second.in_flight() &&
@@ -182,7 +182,7 @@
   }
 
   void Cancel() {
-    auto it = Any();
+    auto it = AnyLiveRequest();
     cancelled_ = it == live_.end() ? RequestId{last_id_ + 1} : it->first;
     Step(RequestCancelled{cancelled_});
     Check(!live_.contains(cancelled_), "cancelled request is live");
@@ -197,24 +197,24 @@
     }
     Check(dispatcher_.live() == live_.size(), "conservation");
     Check(dispatcher_.next_wake() > now_, "timer not advanced");
-    std::map<PoolId, size_t> fresh;
+    std::map<PoolId, size_t> never_sent;
     for (const auto& [id, record] : live_) {
       Check(record.deadline > now_, "live request after its deadline");
       Check(dispatcher_.next_wake() <= record.deadline,
             "no timer for deadline");
-      fresh[record.pool] += record.attempts.empty() ? 1 : 0;
+      never_sent[record.pool] += record.attempts.empty() ? 1 : 0;
     }
-    for (const auto& [pool, count] : fresh) {
+    for (const auto& [pool, count] : never_sent) {
       Check(count <= kQueueLimit, "queue limit");
     }
     for (const auto& [key, limit] : targets_) {
-      Check(!fifo_ || fresh[key.first] == 0 || in_flight_[key] >= limit,
+      Check(!fifo_ || never_sent[key.first] == 0 || in_flight_[key] >= limit,
             "request waits while a slot is free");
     }
     const DispatchCounters& counters = dispatcher_.counters();
     Check(static_cast<double>(retries_) <=
               options_.retry_burst +
-                  options_.retry_share *
+                  options_.retry_ratio *
                       static_cast<double>(counters.first_attempts) +
                   1e-6,
           "retry budget");
@@ -223,7 +223,7 @@
 
   void Observe(const SendAttempt& send) {
     Record& record = live_.at(send.request);
-    Key key{record.pool, send.host};
+    TargetKey key{record.pool, send.host};
     Check(!record.in_flight(), "two attempts at once");
     Check(send.attempt == static_cast<int>(record.attempts.size()) + 1 &&
               send.attempt <= options_.max_attempts,
@@ -272,9 +272,9 @@
   Dispatcher dispatcher_;
   Time now_ = kTimeZero + Seconds(100);
   std::vector<PoolId> pools_ = {PoolId("a"), PoolId("b")};
-  std::map<PoolId, bool> known_ = {{pools_[0], true}, {pools_[1], true}};
-  std::map<Key, int> targets_;  // Limit; 0 if not usable.
-  std::map<Key, int> in_flight_;
+  std::map<PoolId, bool> known_pools_ = {{pools_[0], true}, {pools_[1], true}};
+  std::map<TargetKey, int> targets_;  // Limit; 0 if not usable.
+  std::map<TargetKey, int> in_flight_;
   std::map<RequestId, Record> live_;
   std::map<RequestId, bool> aborted_;  // Restarted and not sent again yet.
   uint64_t last_id_ = 0;
