--- a/radishmoor/dispatch/dispatcher.cc
+++ b/radishmoor/dispatch/dispatcher.cc
@@ -604,9 +604,11 @@
 void Dispatcher::SetPoolTimer(Pool& pool) {
   Time at = kTimeMax;
   const RequestList& in_flight_short = pool.list(RequestPhase::kInFlightShort);
-  const auto* policy = std::get_if<RestartLong>(&options_.policy);
-  if (policy != nullptr && pool.long_threshold && !in_flight_short.empty() &&
-      (!policy->on_demand || !pool.list(RequestPhase::kShortQueue).empty())) {
+  const auto* restart_policy = std::get_if<RestartLong>(&options_.policy);
+  if (restart_policy != nullptr && pool.long_threshold &&
+      !in_flight_short.empty() &&
+      (!restart_policy->on_demand ||
+       !pool.list(RequestPhase::kShortQueue).empty())) {
     at = in_flight_short.front().sent_at + *pool.long_threshold;
   }
   const RequestList& long_queue = pool.list(RequestPhase::kLongQueue);
@@ -676,13 +678,13 @@
     return;
   }
   auto [it, inserted] = content_failures_.try_emplace(request.job_key);
-  ContentFailures& job = it->second;
-  if (now_ - job.last > kFailureRecordLifetime) {
-    job.hosts.clear();
+  ContentFailures& failures = it->second;
+  if (now_ - failures.last > kFailureRecordLifetime) {
+    failures.hosts.clear();
   }
-  job.last = now_;
-  if (job.hosts.size() < options_.min_poison_hosts) {
-    AddUnique(job.hosts, request.hosts_failed.back());
+  failures.last = now_;
+  if (failures.hosts.size() < options_.min_poison_hosts) {
+    AddUnique(failures.hosts, request.hosts_failed.back());
   }
   if (!inserted) {
     return;
--- a/radishmoor/dispatch/dispatcher.h
+++ b/radishmoor/dispatch/dispatcher.h
@@ -119,11 +119,13 @@
     kShortQueue,
     kLongQueue,
     kBackoff,  // Waits for a retry.
-    // Sent, not known to be long; in order of sending.
+    // The attempt in flight is not long so far. In order of sending.
     kInFlightShort,
-    // Long already, or of the long class; may be aborted for a restart.
+    // The attempt is long, or its request was of the long class when it was
+    // sent. It may be aborted for a restart.
     kInFlightRestartable,
-    kInFlightLong,  // Long already; must not be aborted for a restart.
+    // The attempt is long and must not be aborted for a restart.
+    kInFlightLong,
   };
   static constexpr size_t kRequestPhases = 6;
 
--- a/radishmoor/dispatch/testing/dispatch_bench.cc
+++ b/radishmoor/dispatch/testing/dispatch_bench.cc
@@ -1,13 +1,14 @@
-// Compares the policies against head-of-line blocking and the queue under
-// overload, in virtual time, on one pool of 10 hosts with 8 slots each.
+// Simulates the policies against head-of-line blocking at a steady load and
+// under overload, in virtual time, on one pool of 10 hosts with 8 slots each.
 //
 //   dispatch_bench [--json] [--seeds N]
 //
-// Short runs are exponential with a mean of 10 ms. 1.5 in 100 requests are
-// long: uniform from 0.5 s to 1.5 s. 80 in 100 requests are idempotent. Work
-// "mixed": run times do not depend on the operation. Work "by-operation": all
-// long runs have one operation. An aborted attempt frees its slot at once,
-// except where "aborted runs go on": there a full host answers not-run.
+// Run times of short requests are exponential with a mean of 10 ms. 1.5% of the
+// requests are long, with run times uniform from 0.5 s to 1.5 s. 80% of the
+// requests are idempotent. With "mixed", the run time does not depend on the
+// operation. With "by-operation", all long requests have the same operation. An
+// aborted attempt frees its slot at once. With "aborted runs go on", it
+// occupies the slot to the end of its run, and a full host answers not-run.
 
 #include <algorithm>
 #include <cstdio>
@@ -38,17 +39,18 @@
 
 struct Load {
   bool by_operation = false;
-  double base_load = 0.8;  // Of the capacity.
+  // Arriving work as a share of the capacity, outside and during the peak.
+  double base_load = 0.8;
   double peak_load = 0.8;
   Duration before_peak;
   Duration peak_duration;
   Duration after_peak;
-  Duration deadline;
-  bool abort_frees_slot = true;  // False: an aborted run goes on to its end.
+  Duration time_to_deadline;
+  bool abort_frees_slot = true;  // If false, an aborted run goes on to its end.
 };
 
 struct SimulatedRequest {
-  Duration run;
+  Duration run_time;
   bool is_long = false;
   Time arrived;
   Time started;
@@ -112,8 +114,9 @@
 
   bool InPeak(Time t) const { return t >= peak_start_ && t < peak_end_; }
 
-  // The queue is normal again once it is no longer than the 99th percentile of
-  // its length before the peak, or 10.
+  // Records when the queue has recovered from the peak: its length is then at
+  // most 10 or the 99th percentile of its length before the peak, whichever is
+  // larger.
   void ObserveQueue() {
     auto waiting = static_cast<double>(dispatcher_.waiting(kPool));
     if (now_ >= measure_start_ && now_ < peak_start_) {
@@ -129,14 +132,15 @@
 
   void Arrive() {
     RequestId id{++last_id_};
-    SimulatedRequest& job = live_requests_[id];
-    job.is_long = random_.Chance(kLongShare);
-    job.run = job.is_long
-                  ? random_.Between(50 * kShortMean, 150 * kShortMean)
-                  : std::max(Duration(1), random_.Exponential(kShortMean));
-    job.arrived = now_;
+    SimulatedRequest& simulated = live_requests_[id];
+    simulated.is_long = random_.Chance(kLongShare);
+    simulated.run_time =
+        simulated.is_long
+            ? random_.Between(50 * kShortMean, 150 * kShortMean)
+            : std::max(Duration(1), random_.Exponential(kShortMean));
+    simulated.arrived = now_;
     std::string operation = "op" + std::to_string(random_.Below(10));
-    if (load_.by_operation && job.is_long) {
+    if (load_.by_operation && simulated.is_long) {
       operation = "archive";
     }
     Apply(dispatcher_.Handle(
@@ -144,7 +148,7 @@
                              .pool = kPool,
                              .operation = operation,
                              .idempotent = random_.Chance(0.8),
-                             .deadline = now_ + load_.deadline}));
+                             .deadline = now_ + load_.time_to_deadline}));
   }
 
   void FinishAttempt() {
@@ -167,14 +171,14 @@
   void Apply(const std::vector<Action>& actions) {
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<SendAttempt>(&action)) {
-        SimulatedRequest& job = live_requests_.at(send->request);
-        job.started = now_;
-        job.attempt = send->attempt;
+        SimulatedRequest& simulated = live_requests_.at(send->request);
+        simulated.started = now_;
+        simulated.attempt = send->attempt;
         bool full = busy_slots_[send->host] == kSlotsPerHost;
         busy_slots_[send->host] += !full;
         completions_.push(
-            {now_ + (full ? Milliseconds(1) : job.run), send->request,
-             send->attempt, send->host,
+            {now_ + (full ? Milliseconds(1) : simulated.run_time),
+             send->request, send->attempt, send->host,
              full ? AttemptOutcome::kNotRun : AttemptOutcome::kCompleted});
       } else if (const auto* abort = std::get_if<AbortAttempt>(&action);
                  abort != nullptr && load_.abort_frees_slot) {
@@ -187,50 +191,51 @@
     }
   }
 
-  void Record(const SimulatedRequest& job, const Finish& finish) {
-    if (job.arrived < measure_start_) {
+  void Record(const SimulatedRequest& simulated, const Finish& finish) {
+    if (simulated.arrived < measure_start_) {
       return;
     }
     if (finish.outcome != Outcome::kCompleted) {
-      (job.is_long ? long_lost_ : short_lost_) += 1;
+      (simulated.is_long ? long_lost_ : short_lost_) += 1;
       if (finish.outcome == Outcome::kRefused) {
-        refusal_time_share_.push_back(ToSeconds(now_ - job.arrived) /
-                                      ToSeconds(load_.deadline));
+        refusal_time_share_.push_back(ToSeconds(now_ - simulated.arrived) /
+                                      ToSeconds(load_.time_to_deadline));
       }
       return;
     }
     Duration overlap =
-        std::min(now_, peak_end_) - std::max(job.started, peak_start_);
+        std::min(now_, peak_end_) - std::max(simulated.started, peak_start_);
     peak_slot_seconds_ += std::max(0.0, ToSeconds(overlap));
     completed_ += 1;
-    if (!job.is_long && job.arrived >= peak_end_ &&
-        job.started - job.arrived <= Milliseconds(1)) {
-      short_recovered_at_ = std::min(short_recovered_at_, job.arrived);
+    if (!simulated.is_long && simulated.arrived >= peak_end_ &&
+        simulated.started - simulated.arrived <= Milliseconds(1)) {
+      short_recovered_at_ = std::min(short_recovered_at_, simulated.arrived);
     }
-    if (job.is_long) {
-      long_response_s_.push_back(ToSeconds(now_ - job.arrived));
+    if (simulated.is_long) {
+      long_response_s_.push_back(ToSeconds(now_ - simulated.arrived));
     } else {
-      short_wait_ms_.push_back(ToMilliseconds(job.started - job.arrived));
+      short_wait_ms_.push_back(
+          ToMilliseconds(simulated.started - simulated.arrived));
     }
   }
 
   Measures Summary() {
-    Measures f;
-    f["wait_p50_ms"] = Quantile(short_wait_ms_, 0.5);
-    f["wait_p99_ms"] = Quantile(short_wait_ms_, 0.99);
-    f["wait_p999_ms"] = Quantile(short_wait_ms_, 0.999);
-    f["completed_per_s"] = completed_ / ToSeconds(end_ - measure_start_);
-    f["goodput"] =
+    Measures measures;
+    measures["wait_p50_ms"] = Quantile(short_wait_ms_, 0.5);
+    measures["wait_p99_ms"] = Quantile(short_wait_ms_, 0.99);
+    measures["wait_p999_ms"] = Quantile(short_wait_ms_, 0.999);
+    measures["completed_per_s"] = completed_ / ToSeconds(end_ - measure_start_);
+    measures["goodput"] =
         peak_slot_seconds_ / (kTotalSlots * ToSeconds(load_.peak_duration));
-    f["straggler_p99_s"] = Quantile(long_response_s_, 0.99);
-    f["straggler_max_s"] = Quantile(long_response_s_, 1);
-    f["short_lost"] = short_lost_;
-    f["long_lost"] = long_lost_;
-    f["refusal_max"] = Quantile(refusal_time_share_, 1);
-    f["recovery_s"] = ToSeconds(queue_recovered_at_ - peak_end_);
-    f["short_recovery_s"] = ToSeconds(short_recovered_at_ - peak_end_);
-    f["restarts"] = static_cast<double>(dispatcher_.counters().restarts);
-    return f;
+    measures["straggler_p99_s"] = Quantile(long_response_s_, 0.99);
+    measures["straggler_max_s"] = Quantile(long_response_s_, 1);
+    measures["short_lost"] = short_lost_;
+    measures["long_lost"] = long_lost_;
+    measures["refusal_max"] = Quantile(refusal_time_share_, 1);
+    measures["recovery_s"] = ToSeconds(queue_recovered_at_ - peak_end_);
+    measures["short_recovery_s"] = ToSeconds(short_recovered_at_ - peak_end_);
+    measures["restarts"] = static_cast<double>(dispatcher_.counters().restarts);
+    return measures;
   }
 
   Load load_;
@@ -250,7 +255,7 @@
       completions_;
   std::map<HostId, int> busy_slots_;
   std::set<std::pair<RequestId, int>>
-      aborted_attempts_;  // Aborted; frees no slot again.
+      aborted_attempts_;  // Attempts whose slot an abort has freed already.
   std::vector<double> short_wait_ms_, long_response_s_, refusal_time_share_,
       queue_before_peak_;
   double peak_slot_seconds_ = 0, completed_ = 0, short_lost_ = 0,
@@ -262,7 +267,8 @@
   DispatchOptions options;
 };
 
-// One line for each variant: median, least and largest value of all seeds.
+// Prints one line for each variant: median, least and largest value over all
+// seeds of each measure in `keys`.
 void Compare(const std::string& title,
              const Load& load,
              const std::vector<Variant>& variants,
@@ -322,7 +328,7 @@
   Load steady{.before_peak = Seconds(5),
               .peak_duration = Seconds(55),
               .after_peak = Seconds(0),
-              .deadline = Seconds(20)};
+              .time_to_deadline = Seconds(20)};
   std::vector<std::string> steady_keys = {
       "wait_p50_ms",     "wait_p99_ms",     "wait_p999_ms",
       "completed_per_s", "straggler_p99_s", "straggler_max_s",
@@ -340,13 +346,13 @@
                 .before_peak = Seconds(25),
                 .peak_duration = Seconds(5),
                 .after_peak = Seconds(15),
-                .deadline = Seconds(10)};
-  std::vector<Variant> queues = policies;
-  queues.push_back({"tenth-only", {.max_queue_time = Seconds(60)}});
-  queues.push_back(
+                .time_to_deadline = Seconds(10)};
+  std::vector<Variant> overload_variants = policies;
+  overload_variants.push_back({"tenth-only", {.max_queue_time = Seconds(60)}});
+  overload_variants.push_back(
       {"full-deadline",
        {.max_start_delay_share = 1, .max_queue_time = Seconds(60)}});
-  Compare("overload 5, mixed", overload, queues,
+  Compare("overload 5, mixed", overload, overload_variants,
           {"goodput", "refusal_max", "short_recovery_s", "recovery_s",
            "completed_per_s", "wait_p99_ms", "straggler_max_s", "long_lost",
            "restarts"},
--- a/radishmoor/dispatch/testing/dispatch_soak_bench.cc
+++ b/radishmoor/dispatch/testing/dispatch_soak_bench.cc
@@ -1,8 +1,10 @@
-// Random events against the naive record of RandomDriver, for a long run.
+// Checks dispatchers against the reference model of RandomDriver with many
+// random events.
 //
 //   dispatch_soak_bench [--seed N] [--events N]
 //
-// Prints the seed of the failing part and exits with 1 on a violation.
+// Each dispatcher has its own seed, counted up from the given one. At the first
+// violation, prints the seed of that dispatcher and exits with 1.
 
 #include <chrono>
 #include <cstdio>
@@ -16,8 +18,7 @@
 
 int main(int argc, char** argv) {
   using namespace radishmoor::dispatch;  // NOLINT: a main function
-  constexpr uint64_t kEventsPerDispatcher =
-      20'000;  // Events of one dispatcher.
+  constexpr uint64_t kEventsPerDispatcher = 20'000;
   uint64_t seed = 1;
   uint64_t events = 1'000'000;
   for (int i = 1; i + 1 < argc; i += 2) {
--- a/radishmoor/dispatch/testing/dispatcher_test.cc
+++ b/radishmoor/dispatch/testing/dispatcher_test.cc
@@ -39,10 +39,11 @@
     }
   }
   void Arrive(uint64_t id,
-              Duration time = Seconds(10),
+              Duration time_to_deadline = Seconds(10),
               bool idempotent = true,
               uint64_t job_key = 0) {
-    Deliver(RequestArrived{{id}, kPool, "op", idempotent, now + time, job_key});
+    Deliver(RequestArrived{
+        {id}, kPool, "op", idempotent, now + time_to_deadline, job_key});
   }
   void Answer(uint64_t id,
               AttemptOutcome outcome,
@@ -51,15 +52,15 @@
     Deliver(AttemptResult{
         {id}, send.attempt, send.host, outcome, retried_by_lower_layer});
   }
-  void Advance(Duration by) {
-    Time end = now + by;
+  void Advance(Duration elapsed) {
+    Time end = now + elapsed;
     while (dispatcher.next_wake() <= end) {
       now = dispatcher.next_wake();
       Deliver(Tick{});
     }
     now = end;
   }
-  // Lets `count` requests of the given run time complete one after another.
+  // Runs `count` requests of the given run time one after another.
   void CompleteRuns(int count, Duration run, uint64_t first_id = 100'000) {
     for (int i = 0; i < count; ++i) {
       Arrive(first_id + i);
@@ -76,14 +77,15 @@
   Time now = kTimeZero + Seconds(1);
   Dispatcher dispatcher;
   std::vector<Action> actions;
+  // The latest attempt of each request.
   std::map<RequestId, SendAttempt> sent;
   std::map<RequestId, Finish> finished;
 };
 
-// Guards against lost or doubled outcomes, untrue refusals, a second run of
-// non-idempotent work, sends beyond a limit or a deadline, and missing timers,
-// under random events with each policy.
-TEST_CASE("random events keep to the naive record") {
+// Guards against missing or repeated outcomes, refusals of requests that may
+// have run, a second run of a non-idempotent request, attempts beyond a limit
+// or a deadline, and missing timers.
+TEST_CASE("the actions agree with a reference model under random events") {
   std::vector<HeadOfLinePolicy> policies = {
       Fifo{},
       ReservedSlots{},
@@ -121,7 +123,7 @@
 }
 
 // Guards against refusals that come too late for the caller to go elsewhere.
-TEST_CASE("a request that has not started within a tenth of its time ends") {
+TEST_CASE("a request not started within a tenth of its time is refused") {
   Fixture f({kHostA});
   f.Arrive(1);
   f.Arrive(2, Seconds(1));
@@ -131,8 +133,9 @@
   REQUIRE(f.FinishedWith(2, Outcome::kRefused, Reason::kTooLate));
 }
 
-// Guards against work queued that cannot start in time.
-TEST_CASE("admission refuses by observed run times") {
+// Guards against queueing a request although the observed run times show that
+// it cannot start in time.
+TEST_CASE("a request that cannot start in time is refused on arrival") {
   Fixture f({kHostA});
   f.CompleteRuns(50, Milliseconds(100));
   f.Arrive(1);
@@ -146,9 +149,9 @@
   REQUIRE(f.FinishedWith(4, Outcome::kRefused, Reason::kTooLate));
 }
 
-// Guards against a pool that refuses everything after an outage, because the
-// time-outs were its last observed run times.
-TEST_CASE("a pool whose requests all timed out still serves") {
+// Guards against a pool that refuses every request after an outage, because its
+// last observed run times were time-outs.
+TEST_CASE("a pool whose requests all timed out still sends new requests") {
   Fixture f({kHostA}, 10);
   for (uint64_t id = 1; id <= 100; ++id) {
     f.Arrive(id, Seconds(1));
@@ -170,7 +173,7 @@
   REQUIRE(f.sent.contains({2}));
 }
 
-TEST_CASE("a full queue refuses") {
+TEST_CASE("a full queue refuses new requests") {
   Fixture f({kHostA});
   f.Deliver(PoolSet{kPool, 2});
   for (uint64_t id = 1; id <= 4; ++id) {
@@ -180,8 +183,9 @@
   REQUIRE(f.finished.size() == 1);
 }
 
-// Guards against a send after the process was paused beyond the deadline.
-TEST_CASE("the deadline is checked before a send") {
+// Guards against sending a request whose deadline passed while the process was
+// paused.
+TEST_CASE("a request past its deadline is refused instead of sent") {
   Fixture f({kHostA});
   f.Arrive(1, Seconds(100));
   f.Arrive(2, Seconds(1));
@@ -191,7 +195,8 @@
   REQUIRE(!f.sent.contains({2}));
 }
 
-TEST_CASE("a deadline in flight ends as unknown and aborts the attempt") {
+TEST_CASE(
+    "an attempt in flight at the deadline is aborted with outcome unknown") {
   Fixture f({kHostA});
   f.Arrive(1, Seconds(1));
   f.Advance(Seconds(1));
@@ -201,9 +206,9 @@
   REQUIRE(f.sent.contains({2}));
 }
 
-// Guards against a second run of non-idempotent work (G5) and against giving up
+// Guards against a second run of a non-idempotent request and against giving up
 // where a retry is safe.
-TEST_CASE("only what did not run or is idempotent is sent again") {
+TEST_CASE("only requests that did not run or are idempotent are sent again") {
   for (bool idempotent : {false, true}) {
     for (int kind = 1; kind <= 5; ++kind) {
       Fixture f({kHostA, kHostB});
@@ -228,7 +233,7 @@
   }
 }
 
-TEST_CASE("what a lower layer retried is not retried again") {
+TEST_CASE("an attempt that a lower layer retried is not retried again") {
   Fixture f({kHostA, kHostB});
   f.Arrive(1);
   f.Answer(1, AttemptOutcome::kLost, true);
@@ -250,7 +255,7 @@
   REQUIRE(f.dispatcher.counters().retries <= 60);
 }
 
-// Guards against retries in step, which arrive as one burst.
+// Guards against synchronised retries, which arrive at a host as one burst.
 TEST_CASE("retries are spread in time") {
   Fixture f({kHostA, kHostB}, 10);
   for (uint64_t id = 1; id <= 5; ++id) {
@@ -264,9 +269,9 @@
   REQUIRE(f.actions.size() == 1);
 }
 
-// Guards against failures of a job being held against the hosts, and against
-// retrying such a job on every repeat.
-TEST_CASE("work that fails on several hosts is the job's failure") {
+// Guards against counting the failures of a poison request against the hosts,
+// and against retries each time that a request with this content arrives.
+TEST_CASE("a request that fails on several hosts is a poison request") {
   Fixture f({kHostA, kHostB, HostId("c")});
   f.Arrive(1, Seconds(10), true, 7);
   for (int i = 0; i < 3; ++i) {
@@ -278,7 +283,7 @@
   f.Arrive(2, Seconds(10), true, 7);
   f.Answer(2, AttemptOutcome::kErrorAnswer);
   REQUIRE(f.FinishedWith(2, Outcome::kUnknown, Reason::kJobFailed));
-  f.Arrive(3);  // Without a job key.
+  f.Arrive(3);  // Without a content hash.
   for (int i = 0; i < 3; ++i) {
     f.Answer(3, AttemptOutcome::kErrorAnswer);
     f.Advance(Milliseconds(100));
@@ -302,9 +307,9 @@
   REQUIRE(f.dispatcher.counters().stale_results == 3);
 }
 
-// Guards against a cost of cancellation that grows with the queue: linear
-// removal would make the larger wave 10 times slower for each request.
-TEST_CASE("a wave of cancellations has a constant cost for each request") {
+// Guards against cancellations whose cost grows with the queue: with linear
+// removal, each cancellation takes 10 times as long in the larger queue.
+TEST_CASE("the cost of a cancellation does not grow with the queue") {
   auto cost = [](uint64_t count) {
     auto best = std::chrono::duration<double>::max();
     for (int round = 0; round < 3; ++round) {
@@ -327,7 +332,8 @@
   REQUIRE(cost(50'000) < 5 * cost(5'000));
 }
 
-TEST_CASE("a drain finishes what it can and refuses the rest at its deadline") {
+TEST_CASE(
+    "a drain sends waiting requests and ends all others at its deadline") {
   Fixture f({kHostA});
   f.Arrive(1);
   f.Arrive(2);
@@ -343,7 +349,7 @@
   REQUIRE(f.dispatcher.live() == 0);
 }
 
-// Guards against a planned removal that interrupts requests in flight (G7).
+// Guards against a planned removal that interrupts requests in flight.
 TEST_CASE("removal of a pool or a host lets attempts in flight finish") {
   Fixture f({kHostA, kHostB});
   f.Arrive(1);
@@ -375,8 +381,8 @@
   REQUIRE(f.sent.at({17}).host == kHostB);
 }
 
-// Guards against long work that holds up the maintenance of a host.
-TEST_CASE("long work avoids hosts that leave soon") {
+// Guards against long requests that delay the maintenance of a host.
+TEST_CASE("long requests avoid hosts that leave soon") {
   Fixture f({kHostA, kHostB}, 100);
   f.CompleteRuns(60, Milliseconds(10));
   f.Deliver(TargetSet{kPool, kHostA, true, true, 100, true});
@@ -396,9 +402,9 @@
   }
 }
 
-// Guards against short work that waits for long work to finish, and against
-// restarts of what must not run twice.
-TEST_CASE("long idempotent work is restarted when short work waits") {
+// Guards against short requests that wait for long ones to finish, and against
+// restarts of requests that must not run twice.
+TEST_CASE("a long idempotent attempt is aborted if a short request waits") {
   for (bool idempotent : {true, false}) {
     Fixture f({kHostA}, 2);
     f.CompleteRuns(200, Milliseconds(10));
@@ -411,19 +417,22 @@
       continue;
     }
     f.Answer(3, AttemptOutcome::kCompleted);
-    REQUIRE(f.sent.at({1}).attempt == 1);  // The free slot is reserved.
-    f.Advance(Seconds(26));                // A quarter of its time.
+    // The free slot is reserved for short requests.
+    REQUIRE(f.sent.at({1}).attempt == 1);
+    // After a quarter of its time to the deadline, the request is overdue.
+    f.Advance(Seconds(26));
     REQUIRE(f.sent.at({1}).attempt == 2);
     f.Arrive(4);
     REQUIRE(!f.sent.contains({4}));
-    REQUIRE(f.sent.at({1}).attempt == 2);  // Overdue work is not aborted.
+    // The attempt of an overdue request is not aborted.
+    REQUIRE(f.sent.at({1}).attempt == 2);
     f.Answer(1, AttemptOutcome::kCompleted);
     REQUIRE(f.FinishedWith(1, Outcome::kCompleted, Reason::kNone));
   }
 }
 
-// Guards against restarts that cost throughput when there is no idle time.
-TEST_CASE("restarts stay within their budget") {
+// Guards against restarts that cost throughput if no slot is ever idle.
+TEST_CASE("no attempt is aborted without restart budget") {
   Fixture f({kHostA}, 1,
             {.policy = RestartLong{.max_lost_share = 0, .idle_credit = 0}});
   f.CompleteRuns(200, Milliseconds(10));
@@ -433,9 +442,9 @@
   REQUIRE(!f.sent.contains({2}));
 }
 
-// Guards against aborts that only add load, because the hosts go on with the
-// aborted runs.
-TEST_CASE("restarts pause when the freed slot turns out to be busy") {
+// Guards against aborts that only add load, because the host goes on with the
+// aborted run.
+TEST_CASE("restarts pause if the host of an aborted attempt answers not-run") {
   Fixture f({kHostA}, 10);
   f.CompleteRuns(200, Milliseconds(10));
   for (uint64_t id = 1; id <= 10; ++id) {
@@ -450,8 +459,8 @@
   REQUIRE(f.dispatcher.counters().restarts == 1);
 }
 
-// Guards against aborts that free no slot for the short work.
-TEST_CASE("nothing is restarted on a host above its limit") {
+// Guards against aborts that free no slot for short requests.
+TEST_CASE("no attempt is aborted on a host above its limit") {
   Fixture f({kHostA}, 10);
   f.CompleteRuns(200, Milliseconds(10));
   for (uint64_t id = 1; id <= 10; ++id) {
@@ -463,8 +472,8 @@
   REQUIRE(f.dispatcher.counters().restarts == 0);
 }
 
-// Guards against known long work that takes the last slots from short work.
-TEST_CASE("operations that were long leave the reserved slots free") {
+// Guards against long operations that take the last slots from short requests.
+TEST_CASE("long operations leave the reserved slots free, except with Fifo") {
   for (const HeadOfLinePolicy& policy : std::vector<HeadOfLinePolicy>{
            ReservedSlots{}, LearnedQuantiles{}, RestartLong{}, Fifo{}}) {
     Fixture f({kHostA}, 4, {.policy = policy});
@@ -487,8 +496,9 @@
   }
 }
 
-// Guards against new work of an operation whose runs in flight are long.
-TEST_CASE("an operation is long while its attempts in flight are") {
+// Guards against new requests of an operation taking the reserved slots while
+// its attempts in flight are long.
+TEST_CASE("an operation is long while its attempts in flight are long") {
   Fixture f({kHostA}, 4, {.policy = AgeReclassification{}});
   f.CompleteRuns(200, Milliseconds(10));
   auto archive = [&](uint64_t id) {
@@ -505,8 +515,9 @@
   REQUIRE(f.sent.contains({5}));
 }
 
-// Guards against a peak that leaves seconds of postponed long work behind.
-TEST_CASE("restarts stop while much long work waits") {
+// Guards against a long queue that takes seconds to empty after a peak, because
+// restarts filled it.
+TEST_CASE("restarts stop at 0.4 waiting long requests per slot") {
   Fixture f({kHostA}, 10, {.policy = RestartLong{.idle_credit = 1000}});
   f.CompleteRuns(200, Milliseconds(10));
   for (uint64_t id = 1; id <= 10; ++id) {
--- a/radishmoor/dispatch/testing/random_driver.h
+++ b/radishmoor/dispatch/testing/random_driver.h
@@ -1,5 +1,5 @@
 // Drives a Dispatcher with random events and checks every action against a
-// naive record of the requests.
+// simple reference model of the requests and hosts.
 //
 //   RandomDriver driver(seed, RestartLong{});
 //   driver.Run(1000);  // Throws std::logic_error at the first violation.
@@ -27,7 +27,8 @@
         options_{.seed = seed, .policy = policy},
         dispatcher_(options_) {}
 
-  // Ends with a drain, after which every request must have its outcome.
+  // Handles `events` random events and then a drain, after which every request
+  // must have an outcome.
   void Run(uint64_t events) {
     for (const PoolId& pool : pools_) {
       Step(PoolSet{pool, kQueueLimit});
@@ -77,7 +78,8 @@
 
   void RandomEvent() {
     if (random_.Chance(0.5)) {
-      // Now and then a pause of the process.
+      // One time step in a hundred has a mean of 1 s, like a pause of the
+      // process.
       now_ += random_.Exponential(random_.Chance(0.01) ? Seconds(1)
                                                        : Milliseconds(2));
     }
@@ -136,7 +138,8 @@
                         record.idempotent, record.deadline, random_.Below(50)});
   }
 
-  // A request that is live, with a bias to none in particular.
+  // Returns the next live request from a random one of the last 60 ids onwards,
+  // else the oldest live request, or end() if none is live.
   std::map<RequestId, Record>::iterator AnyLiveRequest() {
     auto it = live_.lower_bound(
         {last_id_ - random_.Below(std::min<uint64_t>(last_id_, 60) + 1)});
@@ -164,7 +167,7 @@
     Check(completed_ == RequestId{}, "completed attempt without an outcome");
   }
 
-  // Wrong attempt, wrong host or no such request.
+  // Reports a result with a wrong attempt, a wrong host or an unknown request.
   void ReportStaleResult(const HostId& host) {
     Step(Tick{});
     auto it = AnyLiveRequest();
@@ -189,23 +192,25 @@
     cancelled_ = RequestId{};
   }
 
-  // True if there were actions.
+  // Handles the message and checks the actions. Returns true if there were any.
   bool Step(const Message& message) {
     std::vector<Action> actions = dispatcher_.Handle(now_, message);
     for (const Action& action : actions) {
       std::visit([this](const auto& a) { Observe(a); }, action);
     }
-    Check(dispatcher_.live() == live_.size(), "conservation");
-    Check(dispatcher_.next_wake() > now_, "timer not advanced");
+    Check(dispatcher_.live() == live_.size(),
+          "number of live requests differs from the model");
+    Check(dispatcher_.next_wake() > now_,
+          "next_wake() is not after the present time");
     std::map<PoolId, size_t> never_sent;
     for (const auto& [id, record] : live_) {
       Check(record.deadline > now_, "live request after its deadline");
       Check(dispatcher_.next_wake() <= record.deadline,
-            "no timer for deadline");
+            "no timer for the deadline of a live request");
       never_sent[record.pool] += record.attempts.empty() ? 1 : 0;
     }
     for (const auto& [pool, count] : never_sent) {
-      Check(count <= kQueueLimit, "queue limit");
+      Check(count <= kQueueLimit, "more waiting requests than the queue limit");
     }
     for (const auto& [key, limit] : targets_) {
       Check(!fifo_ || never_sent[key.first] == 0 || in_flight_[key] >= limit,
@@ -217,21 +222,22 @@
                   options_.retry_ratio *
                       static_cast<double>(counters.first_attempts) +
                   1e-6,
-          "retry budget");
+          "more retries than the retry budget allows");
     return !actions.empty();
   }
 
   void Observe(const SendAttempt& send) {
     Record& record = live_.at(send.request);
     TargetKey key{record.pool, send.host};
-    Check(!record.in_flight(), "two attempts at once");
+    Check(!record.in_flight(), "attempt sent while another one is in flight");
     Check(send.attempt == static_cast<int>(record.attempts.size()) + 1 &&
               send.attempt <= options_.max_attempts,
-          "attempt number");
-    Check(now_ < record.deadline, "sent after the deadline");
-    Check(record.idempotent || record.not_run(), "ran more than once");
+          "attempt number is not the next one or is above max_attempts");
+    Check(now_ < record.deadline, "attempt sent after the deadline");
+    Check(record.idempotent || record.not_run(),
+          "non-idempotent request sent again although it may have run");
     Check(targets_.contains(key) && ++in_flight_[key] <= targets_[key],
-          "sent beyond the limit of the host");
+          "attempt sent beyond the limit of the host");
     retries_ += send.attempt > 1 && !aborted_.contains(send.request) ? 1 : 0;
     aborted_.erase(send.request);
     record.attempts.push_back({send.host});
@@ -249,18 +255,18 @@
 
   void Observe(const Finish& finish) {
     auto it = live_.find(finish.request);
-    Check(it != live_.end(), "second outcome");
+    Check(it != live_.end(), "outcome of a request that is not live");
     Check(!it->second.in_flight(), "outcome with an attempt in flight");
     Check((finish.outcome == Outcome::kRefused) <= it->second.not_run(),
-          "refused although it may have run");
+          "outcome refused although the request may have run");
     Check((finish.outcome == Outcome::kUnknown) <= !it->second.not_run(),
-          "unknown although it did not run");
+          "outcome unknown although the request did not run");
     Check((finish.outcome == Outcome::kCompleted) ==
               (completed_ == finish.request),
-          "completed without a completed attempt");
+          "completed attempt and outcome completed do not match");
     Check((finish.outcome == Outcome::kCancelled) ==
               (cancelled_ == finish.request),
-          "cancelled without the caller");
+          "cancellation and outcome cancelled do not match");
     completed_ = completed_ == finish.request ? RequestId{} : completed_;
     aborted_.erase(finish.request);
     live_.erase(it);
@@ -273,12 +279,14 @@
   Time now_ = kTimeZero + Seconds(100);
   std::vector<PoolId> pools_ = {PoolId("a"), PoolId("b")};
   std::map<PoolId, bool> known_pools_ = {{pools_[0], true}, {pools_[1], true}};
-  std::map<TargetKey, int> targets_;  // Limit; 0 if not usable.
+  std::map<TargetKey, int> targets_;  // Limit of each host; 0 if not usable.
   std::map<TargetKey, int> in_flight_;
   std::map<RequestId, Record> live_;
-  std::map<RequestId, bool> aborted_;  // Restarted and not sent again yet.
+  // Aborted for a restart and not sent again yet.
+  std::map<RequestId, bool> aborted_;
   uint64_t last_id_ = 0;
   uint64_t retries_ = 0;
+  // The request that the current event completes or cancels; unset if none.
   RequestId completed_;
   RequestId cancelled_;
 };
