--- a/radishmoor/dispatch/testing/dispatch_bench.cc
+++ b/radishmoor/dispatch/testing/dispatch_bench.cc
@@ -242,11 +242,14 @@
   Random random_;
   Dispatcher dispatcher_;
   Time now_ = kTimeZero;
+  // Requests that arrive earlier are not measured (warm-up).
   Time measure_start_ = kTimeZero + Seconds(5);
   Time peak_start_ = kTimeZero + load_.before_peak;
   Time peak_end_ = peak_start_ + load_.peak_duration;
   Time end_ = peak_end_ + load_.after_peak;
   Time queue_recovered_at_ = kTimeMax;
+  // Earliest arrival after the peak of a short request that started within 1
+  // ms.
   Time short_recovered_at_ = kTimeMax;
   double max_normal_queue_ = -1;
   uint64_t last_id_ = 0;
@@ -254,8 +257,8 @@
   std::priority_queue<Completion, std::vector<Completion>, std::greater<>>
       completions_;
   std::map<HostId, int> busy_slots_;
-  std::set<std::pair<RequestId, int>>
-      aborted_attempts_;  // Attempts whose slot an abort has freed already.
+  // Attempts whose slot an abort has freed already.
+  std::set<std::pair<RequestId, int>> aborted_attempts_;
   std::vector<double> short_wait_ms_, long_response_s_, refusal_time_share_,
       queue_before_peak_;
   double peak_slot_seconds_ = 0, completed_ = 0, short_lost_ = 0,
