--- a/radishmoor/dispatch/dispatcher.cc
+++ b/radishmoor/dispatch/dispatcher.cc
@@ -69,7 +69,7 @@
     case Reason::kDeadline:
       return "deadline";
     case Reason::kBackendFailed:
-    case Reason::kJobFailed:
+    case Reason::kPoisonRequest:
       return "backend-failed";
     case Reason::kCancelled:
       return "cancelled";
@@ -152,7 +152,7 @@
   return it == pools_.end() ? 0 : it->second.waiting() + it->second.in_flight();
 }
 
-void Dispatcher::On(const PoolSet& message) {
+void Dispatcher::On(const PoolUpdated& message) {
   Pool& pool = pools_[message.pool];
   pool.id = message.pool;
   pool.queue_limit = message.queue_limit;
@@ -179,7 +179,7 @@
   MarkForScheduling(pool);
 }
 
-void Dispatcher::On(const TargetSet& message) {
+void Dispatcher::On(const TargetUpdated& message) {
   auto it = pools_.find(message.pool);
   if (it == pools_.end() || it->second.removed) {
     return;
@@ -239,7 +239,7 @@
   request.pool = &pool;
   request.operation = &FindOperation(pool, message.operation);
   request.idempotent = message.idempotent;
-  request.job_key = message.job_key;
+  request.content_hash = message.content_hash;
   request.arrived = now_;
   request.deadline = message.deadline;
   request.start_by =
@@ -651,7 +651,7 @@
     return;
   }
   Refuse(request,
-         IsPoison(request) ? Reason::kJobFailed : Reason::kBackendFailed);
+         IsPoison(request) ? Reason::kPoisonRequest : Reason::kBackendFailed);
 }
 
 bool Dispatcher::MayRetry(const Request& request,
@@ -674,10 +674,10 @@
 }
 
 void Dispatcher::RecordFailure(const Request& request) {
-  if (request.job_key == 0) {
+  if (request.content_hash == 0) {
     return;
   }
-  auto [it, inserted] = content_failures_.try_emplace(request.job_key);
+  auto [it, inserted] = content_failures_.try_emplace(request.content_hash);
   ContentFailures& failures = it->second;
   if (now_ - failures.last > kFailureRecordLifetime) {
     failures.hosts.clear();
@@ -689,7 +689,7 @@
   if (!inserted) {
     return;
   }
-  content_failure_order_.push_back(request.job_key);
+  content_failure_order_.push_back(request.content_hash);
   if (content_failure_order_.size() > kMaxFailureRecords) {
     content_failures_.erase(content_failure_order_.front());
     content_failure_order_.pop_front();
@@ -702,7 +702,7 @@
   if (request.hosts_failed.size() >= needed) {
     return true;
   }
-  auto it = content_failures_.find(request.job_key);
+  auto it = content_failures_.find(request.content_hash);
   return it != content_failures_.end() && it->second.hosts.size() >= needed &&
          now_ - it->second.last <= kFailureRecordLifetime;
 }
@@ -717,8 +717,8 @@
     pool.long_threshold = LongThreshold(pool.run_times);
   }
   AddRestartBudget(pool, static_cast<double>(run.count()), 0);
-  if (request.job_key != 0) {
-    auto it = content_failures_.find(request.job_key);
+  if (request.content_hash != 0) {
+    auto it = content_failures_.find(request.content_hash);
     if (it != content_failures_.end()) {
       it->second.hosts.clear();
     }
--- a/radishmoor/dispatch/dispatcher.h
+++ b/radishmoor/dispatch/dispatcher.h
@@ -3,9 +3,10 @@
 // time and carries out the returned actions.
 //
 //   Dispatcher dispatcher({.seed = seed});
-//   dispatcher.Handle(now, PoolSet{.pool = pool});
-//   dispatcher.Handle(now, TargetSet{.pool = pool, .host = host, .limit = 8});
-//   for (const Action& action : dispatcher.Handle(now, RequestArrived{...}))
+//   dispatcher.Handle(now, PoolUpdated{.pool = pool});
+//   dispatcher.Handle(now, TargetUpdated{.pool = pool, .host = host, .limit =
+//   8}); for (const Action& action : dispatcher.Handle(now,
+//   RequestArrived{...}))
 //   ... if (now >= dispatcher.next_wake()) dispatcher.Handle(now, Tick{});
 //
 // Every RequestArrived with an id that is not in use leads to exactly one
@@ -141,7 +142,7 @@
     bool counted_as_long = false;
     int attempts = 0;          // Attempts sent.
     int attempts_not_run = 0;  // Attempts that are known not to have run.
-    uint64_t job_key = 0;
+    uint64_t content_hash = 0;
     Time arrived;
     Time deadline;
     Time start_by;  // A request that waits for its first attempt ends then.
@@ -223,9 +224,9 @@
     Time last;
   };
 
-  void On(const PoolSet& message);
+  void On(const PoolUpdated& message);
   void On(const PoolRemoved& message);
-  void On(const TargetSet& message);
+  void On(const TargetUpdated& message);
   void On(const TargetRemoved& message);
   void On(const RequestArrived& message);
   void On(const RequestCancelled& message);
--- a/radishmoor/dispatch/messages.h
+++ b/radishmoor/dispatch/messages.h
@@ -18,7 +18,7 @@
 
 // Adds or updates a pool. A closed pool refuses new requests and finishes those
 // that it has admitted.
-struct PoolSet {
+struct PoolUpdated {
   PoolId pool;
   size_t queue_limit = 1000;  // Maximum number of waiting requests.
   bool closed = false;
@@ -31,7 +31,7 @@
 };
 
 // Adds or updates a host of a pool. Ignored for an unknown pool.
-struct TargetSet {
+struct TargetUpdated {
   PoolId pool;
   HostId host;
   bool usable = true;      // New attempts may be sent to the host.
@@ -54,7 +54,7 @@
   Time deadline;
   // Hash of the request's content. Failures of requests with the same hash are
   // counted together. 0 if there is no hash.
-  uint64_t job_key = 0;
+  uint64_t content_hash = 0;
 };
 
 // The caller no longer waits for the answer.
@@ -90,9 +90,9 @@
   Time grace_deadline;
 };
 
-using Message = std::variant<PoolSet,
+using Message = std::variant<PoolUpdated,
                              PoolRemoved,
-                             TargetSet,
+                             TargetUpdated,
                              TargetRemoved,
                              RequestArrived,
                              RequestCancelled,
@@ -134,7 +134,7 @@
   kBackendFailed,
   // Poison request: requests with this content failed on several hosts, so the
   // fault lies in the request and not in the hosts.
-  kJobFailed,
+  kPoisonRequest,
   kCancelled,
 };
 
@@ -149,8 +149,8 @@
   // With kRefused, the delay after which the caller may repeat the request, or
   // 0 if a repeat would be useless. 0 with the other outcomes.
   Duration retry_after{};
-  // Hosts on which the request failed. With kJobFailed, these failures must not
-  // count against the hosts.
+  // Hosts on which the request failed. With kPoisonRequest, these failures must
+  // not count against the hosts.
   std::vector<HostId> failed_hosts;
 };
 
--- a/radishmoor/dispatch/testing/dispatch_bench.cc
+++ b/radishmoor/dispatch/testing/dispatch_bench.cc
@@ -75,11 +75,11 @@
       : load_(load), random_(seed), dispatcher_(options) {}
 
   Measures Run() {
-    dispatcher_.Handle(now_, PoolSet{.pool = kPool, .queue_limit = 4000});
+    dispatcher_.Handle(now_, PoolUpdated{.pool = kPool, .queue_limit = 4000});
     for (int i = 0; i < kHosts; ++i) {
-      dispatcher_.Handle(now_, TargetSet{.pool = kPool,
-                                         .host = HostId(std::to_string(i)),
-                                         .limit = kSlotsPerHost});
+      dispatcher_.Handle(now_, TargetUpdated{.pool = kPool,
+                                             .host = HostId(std::to_string(i)),
+                                             .limit = kSlotsPerHost});
     }
     Time arrival = now_;
     while (arrival < end_ || dispatcher_.live() > 0) {
--- a/radishmoor/dispatch/testing/dispatcher_test.cc
+++ b/radishmoor/dispatch/testing/dispatcher_test.cc
@@ -22,9 +22,9 @@
                    int limit = 1,
                    DispatchOptions options = {})
       : dispatcher(options) {
-    dispatcher.Handle(now, PoolSet{kPool, 100});
+    dispatcher.Handle(now, PoolUpdated{kPool, 100});
     for (const HostId& host : hosts) {
-      dispatcher.Handle(now, TargetSet{kPool, host, true, true, limit});
+      dispatcher.Handle(now, TargetUpdated{kPool, host, true, true, limit});
     }
   }
 
@@ -41,9 +41,9 @@
   void Arrive(uint64_t id,
               Duration time_to_deadline = Seconds(10),
               bool idempotent = true,
-              uint64_t job_key = 0) {
+              uint64_t content_hash = 0) {
     Deliver(RequestArrived{
-        {id}, kPool, "op", idempotent, now + time_to_deadline, job_key});
+        {id}, kPool, "op", idempotent, now + time_to_deadline, content_hash});
   }
   void Answer(uint64_t id,
               AttemptOutcome outcome,
@@ -166,7 +166,7 @@
   Fixture f({kHostA});
   f.Arrive(1);
   f.Arrive(2);
-  f.Deliver(PoolSet{kPool, 100, true});
+  f.Deliver(PoolUpdated{kPool, 100, true});
   f.Arrive(3);
   REQUIRE(f.FinishedWith(3, Outcome::kRefused, Reason::kShuttingDown));
   f.Answer(1, AttemptOutcome::kCompleted);
@@ -175,7 +175,7 @@
 
 TEST_CASE("a full queue refuses new requests") {
   Fixture f({kHostA});
-  f.Deliver(PoolSet{kPool, 2});
+  f.Deliver(PoolUpdated{kPool, 2});
   for (uint64_t id = 1; id <= 4; ++id) {
     f.Arrive(id);
   }
@@ -278,17 +278,17 @@
     f.Answer(1, AttemptOutcome::kErrorAnswer);
     f.Advance(Milliseconds(100));
   }
-  REQUIRE(f.FinishedWith(1, Outcome::kUnknown, Reason::kJobFailed));
+  REQUIRE(f.FinishedWith(1, Outcome::kUnknown, Reason::kPoisonRequest));
   REQUIRE(f.finished.at({1}).failed_hosts.size() == 3);
   f.Arrive(2, Seconds(10), true, 7);
   f.Answer(2, AttemptOutcome::kErrorAnswer);
-  REQUIRE(f.FinishedWith(2, Outcome::kUnknown, Reason::kJobFailed));
+  REQUIRE(f.FinishedWith(2, Outcome::kUnknown, Reason::kPoisonRequest));
   f.Arrive(3);  // Without a content hash.
   for (int i = 0; i < 3; ++i) {
     f.Answer(3, AttemptOutcome::kErrorAnswer);
     f.Advance(Milliseconds(100));
   }
-  REQUIRE(f.FinishedWith(3, Outcome::kUnknown, Reason::kJobFailed));
+  REQUIRE(f.FinishedWith(3, Outcome::kUnknown, Reason::kPoisonRequest));
 }
 
 TEST_CASE("late and duplicate results change nothing") {
@@ -314,7 +314,7 @@
     auto best = std::chrono::duration<double>::max();
     for (int round = 0; round < 3; ++round) {
       Fixture f({kHostA});
-      f.Deliver(PoolSet{kPool, count});
+      f.Deliver(PoolUpdated{kPool, count});
       for (uint64_t id = 1; id <= count; ++id) {
         f.Arrive(id);
       }
@@ -342,7 +342,7 @@
   REQUIRE(f.FinishedWith(3, Outcome::kRefused, Reason::kShuttingDown));
   f.Answer(1, AttemptOutcome::kCompleted);
   f.Arrive(4);
-  f.Deliver(TargetSet{kPool, kHostA, true, true, 2});
+  f.Deliver(TargetUpdated{kPool, kHostA, true, true, 2});
   REQUIRE(f.sent.contains({2}));
   f.Advance(Milliseconds(500));
   REQUIRE(f.FinishedWith(2, Outcome::kUnknown, Reason::kShuttingDown));
@@ -369,7 +369,7 @@
 
 TEST_CASE("the local zone and the least loaded host are preferred") {
   Fixture f({kHostA, kHostB, HostId("c")}, 8);
-  f.Deliver(TargetSet{kPool, kHostB, true, false, 8});
+  f.Deliver(TargetUpdated{kPool, kHostB, true, false, 8});
   for (uint64_t id = 1; id <= 16; id += 2) {
     f.Arrive(id);
     f.Arrive(id + 1);
@@ -385,7 +385,7 @@
 TEST_CASE("long requests avoid hosts that leave soon") {
   Fixture f({kHostA, kHostB}, 100);
   f.CompleteRuns(60, Milliseconds(10));
-  f.Deliver(TargetSet{kPool, kHostA, true, true, 100, true});
+  f.Deliver(TargetUpdated{kPool, kHostA, true, true, 100, true});
   for (uint64_t id = 1; id <= 60; ++id) {
     f.Deliver(
         RequestArrived{{id}, kPool, "archive", true, f.now + Seconds(99)});
@@ -467,7 +467,7 @@
     f.Arrive(id, Seconds(100));
   }
   f.Advance(Milliseconds(200));
-  f.Deliver(TargetSet{kPool, kHostA, true, true, 5});
+  f.Deliver(TargetUpdated{kPool, kHostA, true, true, 5});
   f.Arrive(11);
   REQUIRE(f.dispatcher.counters().restarts == 0);
 }
--- a/radishmoor/dispatch/testing/random_driver.h
+++ b/radishmoor/dispatch/testing/random_driver.h
@@ -31,7 +31,7 @@
   // must have an outcome.
   void Run(uint64_t events) {
     for (const PoolId& pool : pools_) {
-      Step(PoolSet{pool, kQueueLimit});
+      Step(PoolUpdated{pool, kQueueLimit});
     }
     for (uint64_t i = 0; i < events; ++i) {
       RandomEvent();
@@ -95,12 +95,12 @@
     } else if (choice < 940) {
       Cancel();
     } else if (choice < 970) {
-      TargetSet set{pool,
-                    host,
-                    random_.Chance(0.8),
-                    random_.Chance(0.5),
-                    static_cast<int>(random_.Below(5)),
-                    random_.Chance(0.2)};
+      TargetUpdated set{pool,
+                        host,
+                        random_.Chance(0.8),
+                        random_.Chance(0.5),
+                        static_cast<int>(random_.Below(5)),
+                        random_.Chance(0.2)};
       if (known_pools_.contains(pool)) {
         targets_[{pool, host}] = set.usable ? set.limit : 0;
       }
@@ -110,7 +110,7 @@
       Step(TargetRemoved{pool, host});
     } else if (choice < 985) {
       known_pools_.insert_or_assign(pool, true);
-      Step(PoolSet{pool, kQueueLimit, random_.Chance(0.2)});
+      Step(PoolUpdated{pool, kQueueLimit, random_.Chance(0.2)});
     } else if (choice < 987) {
       std::erase_if(targets_, [&](const auto& entry) {
         return entry.first.first == pool;
--- a/radishmoor/entry/entry_core.cc
+++ b/radishmoor/entry/entry_core.cc
@@ -74,7 +74,7 @@
     case dispatch::Reason::kDeadline:
       return 504;
     case dispatch::Reason::kBackendFailed:
-    case dispatch::Reason::kJobFailed:
+    case dispatch::Reason::kPoisonRequest:
       return 502;
     default:
       return 503;
@@ -189,7 +189,7 @@
                                    .operation = request.operation,
                                    .idempotent = request.idempotent,
                                    .deadline = request.deadline,
-                                   .job_key = request.body_hash};
+                                   .content_hash = request.body_hash};
   live_.emplace(id, std::move(request));
   Dispatch(arrived);
 }
@@ -581,7 +581,7 @@
   const FleetState& state = view_.state();
   for (const auto& [id, pool] : state.pools) {
     pools_.insert(id);
-    Dispatch(dispatch::PoolSet{id, pool.queue_limit, pool.closed});
+    Dispatch(dispatch::PoolUpdated{id, pool.queue_limit, pool.closed});
   }
   std::erase_if(pools_, [&](const PoolId& id) {
     if (state.pools.contains(id))
@@ -652,12 +652,12 @@
   if (next == it->second)
     return;
   it->second = next;
-  Dispatch(dispatch::TargetSet{.pool = next.pool,
-                               .host = id,
-                               .usable = next.usable,
-                               .local_zone = next.local,
-                               .limit = next.limit,
-                               .leaving_soon = next.leaving_soon});
+  Dispatch(dispatch::TargetUpdated{.pool = next.pool,
+                                   .host = id,
+                                   .usable = next.usable,
+                                   .local_zone = next.local,
+                                   .limit = next.limit,
+                                   .leaving_soon = next.leaving_soon});
 }
 
 void EntryCore::RefreshTargets() {
