--- a/radishmoor/slots/slot_shares.cc
+++ b/radishmoor/slots/slot_shares.cc
@@ -11,8 +11,9 @@
 namespace radishmoor {
 namespace {
 
-// The lists of all processes must agree, so excess and repeated entries are
-// dropped after sorting.
+// Returns the members sorted, without duplicates, and at most `max` of them.
+// All processes must compute the same list, whatever the order of their input,
+// so the list is sorted before it is cut.
 std::vector<MemberId> BoundedMembers(std::span<const MemberId> members,
                                      size_t max) {
   std::vector<MemberId> result(members.begin(), members.end());
@@ -45,6 +46,8 @@
   return sum;
 }
 
+// Moves the pool's entry in `wakes` to the time `at`; kTimeMax removes the
+// entry.
 template <typename Id, typename State>
 void SetWake(std::set<std::pair<Time, Id>>& wakes,
              const Id& id,
@@ -90,11 +93,10 @@
     uint64_t weight = RendezvousWeight(host.str(), other.str());
     ahead += std::tie(weight, other) > std::tie(own, member) ? 1 : 0;
   }
+  // The remainder goes to the members with the highest weights.
   return slots / count + (ahead < slots % count ? 1 : 0);
 }
 
-// ---- Holder -----------------------------------------------------------------
-
 SlotHolder::SlotHolder(SlotOptions options,
                        MemberId self,
                        ZoneId zone,
@@ -108,22 +110,22 @@
                                    std::span<const MemberId> members) {
   std::vector<MemberId> bounded = BoundedMembers(members, options_.max_members);
   if (bounded == members_)
-    return Take();
+    return TakeActions();
   members_ = std::move(bounded);
   for (auto& [id, pool] : pools_) {
     UpdateAllocator(id, pool);
-    RefreshFixed(pool);
+    UpdateFixedShares(pool);
     UpdateShares(id, pool);
-    SendIfDue(now, id, pool);
+    EmitDemandIfDue(now, id, pool);
   }
-  return Take();
+  return TakeActions();
 }
 
 SlotActions SlotHolder::SetPool(Time now,
                                 const PoolId& id,
                                 std::span<const HostSlots> hosts) {
   if (!pools_.contains(id) && pools_.size() >= options_.max_pools)
-    return Take();
+    return TakeActions();
   PoolState& pool = pools_[id];
   std::map<HostId, uint32_t> bounded = BoundedHosts(hosts, options_);
   for (auto it = pool.hosts.begin(); it != pool.hosts.end();) {
@@ -136,59 +138,59 @@
     it = pool.hosts.erase(it);
   }
   for (const auto& [host, slots] : bounded)
-    pool.hosts[host].total = slots;
-  pool.resend = true;
+    pool.hosts[host].total_slots = slots;
+  pool.demand_pending = true;
   UpdateAllocator(id, pool);
-  RefreshFixed(pool);
+  UpdateFixedShares(pool);
   UpdateShares(id, pool);
-  SendIfDue(now, id, pool);
-  return Take();
+  EmitDemandIfDue(now, id, pool);
+  return TakeActions();
 }
 
 SlotActions SlotHolder::RemovePool(Time, const PoolId& id) {
   auto it = pools_.find(id);
   if (it == pools_.end())
-    return Take();
+    return TakeActions();
   for (const auto& [host, state] : it->second.hosts) {
     if (state.share > 0)
       actions_.emplace_back(ShareChanged{id, host, 0});
   }
   SetWake(wakes_, id, it->second, kTimeMax);
   pools_.erase(it);
-  return Take();
+  return TakeActions();
 }
 
 void SlotHolder::UpdateAllocator(const PoolId& id, PoolState& pool) {
   MemberId allocator = AllocatorOf(id, zone_, members_);
   if (allocator == pool.allocator)
     return;
-  // A grant of the former allocator stays valid for its term; the new one
-  // waits for that before it takes office.
+  // A grant of the previous allocator stays valid until it expires; the new
+  // allocator waits for that before it issues grants.
   pool.allocator = allocator;
   pool.accepted_incarnation = {};
   pool.accepted_sequence = 0;
-  pool.applied = 0;
-  pool.resend = true;
+  pool.applied_sequence = 0;
+  pool.demand_pending = true;
 }
 
-void SlotHolder::RefreshFixed(PoolState& pool) {
+void SlotHolder::UpdateFixedShares(PoolState& pool) {
   for (auto& [id, host] : pool.hosts)
-    host.fixed = FixedShare(id, host.total, self_, members_);
+    host.fixed_share = FixedShare(id, host.total_slots, self_, members_);
 }
 
 SlotActions SlotHolder::SetWanted(Time now, const PoolId& id, uint32_t wanted) {
   auto it = pools_.find(id);
   if (it == pools_.end())
-    return Take();
+    return TakeActions();
   PoolState& pool = it->second;
-  pool.wanted_time +=
-      static_cast<double>(pool.wanted) * ToSeconds(now - pool.wanted_since);
-  pool.wanted_since = now;
+  pool.wanted_slot_seconds +=
+      static_cast<double>(pool.wanted) * ToSeconds(now - pool.wanted_updated);
+  pool.wanted_updated = now;
   pool.wanted = wanted;
-  if (wanted != pool.sent_wanted)
-    pool.resend = true;
-  SendIfDue(now, id, pool);
-  return Take();
+  if (wanted != pool.last_sent_wanted)
+    pool.demand_pending = true;
+  EmitDemandIfDue(now, id, pool);
+  return TakeActions();
 }
 
 void SlotHolder::SetInUse(const PoolId& id,
@@ -202,50 +204,55 @@
     found->second.in_use = in_use;
 }
 
-void SlotHolder::SendIfDue(Time now, const PoolId& id, PoolState& pool) {
-  Time due = pool.last_sent +
-             (pool.resend ? options_.demand_interval : options_.renew_interval);
+void SlotHolder::EmitDemandIfDue(Time now, const PoolId& id, PoolState& pool) {
+  Time due =
+      pool.last_sent_at + (pool.demand_pending ? options_.demand_interval
+                                               : options_.renew_interval);
   if (now >= due && !pool.allocator.empty())
-    Send(now, id, pool);
+    EmitDemand(now, id, pool);
   UpdateWake(id, pool);
 }
 
-void SlotHolder::Send(Time now, const PoolId& id, PoolState& pool) {
-  while (!pool.sent.empty() && pool.sent.front().at + options_.term <= now)
-    pool.sent.pop_front();
+void SlotHolder::EmitDemand(Time now, const PoolId& id, PoolState& pool) {
+  while (!pool.sent_demands.empty() &&
+         pool.sent_demands.front().sent_at + options_.grant_term <= now)
+    pool.sent_demands.pop_front();
   SlotDemand demand;
   demand.pool = id;
   demand.zone = zone_;
   demand.member = self_;
   demand.incarnation = incarnation_;
   demand.sequence = next_sequence_++;
-  demand.applied_grant = pool.granted ? pool.applied : 0;
+  demand.applied_grant = pool.has_grant ? pool.applied_sequence : 0;
   for (const auto& [host, state] : pool.hosts) {
     demand.in_use += state.in_use;
     if (state.in_use > state.share)
       demand.above_grant.push_back({host, state.in_use});
   }
   demand.wanted = AverageWanted(now, pool);
-  // With requests waiting, the present number counts, so that a rise is
-  // answered at once.
+  // While requests wait for a slot, the demand is at least the present number,
+  // so that the allocator can respond to a rise at once.
   if (pool.wanted > demand.in_use)
     demand.wanted = std::max(demand.wanted, pool.wanted);
-  pool.sent.push_back({demand.sequence, now});
-  pool.last_sent = now;
-  pool.sent_wanted = demand.wanted;
-  pool.wanted_time = 0;
-  pool.wanted_since = now;
-  pool.resend = pool.wanted != demand.wanted;
+  pool.sent_demands.push_back({demand.sequence, now});
+  pool.last_sent_at = now;
+  pool.last_sent_wanted = demand.wanted;
+  pool.wanted_slot_seconds = 0;
+  pool.wanted_updated = now;
+  pool.demand_pending = pool.wanted != demand.wanted;
   actions_.emplace_back(SendDemand{pool.allocator, std::move(demand)});
 }
 
-// Mean since the last demand, rounded up. Peaks of single moments would add up
-// over the members to more than the pool and leave nothing to lend.
+// Returns the mean of `pool.wanted` since the last demand, rounded up.
+// Momentary peaks of all members would add up to more than the slots of the
+// pool, and no member would leave slots for the others.
 uint32_t SlotHolder::AverageWanted(Time now, const PoolState& pool) {
-  double area = pool.wanted_time + static_cast<double>(pool.wanted) *
-                                       ToSeconds(now - pool.wanted_since);
-  double time = ToSeconds(now - pool.last_sent);
-  return time > 0 ? static_cast<uint32_t>(std::ceil(area / time)) : pool.wanted;
+  double slot_seconds =
+      pool.wanted_slot_seconds +
+      static_cast<double>(pool.wanted) * ToSeconds(now - pool.wanted_updated);
+  double seconds = ToSeconds(now - pool.last_sent_at);
+  return seconds > 0 ? static_cast<uint32_t>(std::ceil(slot_seconds / seconds))
+                     : pool.wanted;
 }
 
 SlotActions SlotHolder::HandleGrant(Time now,
@@ -255,42 +262,43 @@
   if (it == pools_.end() || grant.zone != zone_ || grant.member != self_ ||
       grant.incarnation != incarnation_ || grant.allocator != from ||
       from != it->second.allocator || grant.slots.size() > options_.max_hosts)
-    return Take();
+    return TakeActions();
   PoolState& pool = it->second;
   auto order = std::pair(grant.allocator_incarnation, grant.sequence);
   if (order <= std::pair(pool.accepted_incarnation, pool.accepted_sequence))
-    return Take();
-  auto sent = std::find_if(pool.sent.begin(), pool.sent.end(),
+    return TakeActions();
+  auto sent = std::find_if(pool.sent_demands.begin(), pool.sent_demands.end(),
                            [&](const SentDemand& demand) {
                              return demand.sequence == grant.demand_sequence;
                            });
-  if (sent == pool.sent.end() || sent->at + options_.term <= now)
-    return Take();
+  if (sent == pool.sent_demands.end() ||
+      sent->sent_at + options_.grant_term <= now)
+    return TakeActions();
   pool.accepted_incarnation = grant.allocator_incarnation;
   pool.accepted_sequence = grant.sequence;
-  pool.applied = grant.sequence;
-  pool.granted = true;
-  pool.grant_ends = sent->at + options_.term;
-  pool.grant.clear();
+  pool.applied_sequence = grant.sequence;
+  pool.has_grant = true;
+  pool.grant_expires = sent->sent_at + options_.grant_term;
+  pool.granted_slots.clear();
   for (const HostSlots& host : grant.slots) {
     if (pool.hosts.contains(host.host))
-      pool.grant[host.host] = host.slots;
+      pool.granted_slots[host.host] = host.slots;
   }
-  // The allocator can lend what was taken away once it knows that this grant
-  // is in use.
+  // The next demand tells the allocator that this grant is in use. Only then
+  // can the allocator grant the slots that it took back to other members.
   if (UpdateShares(grant.pool, pool))
-    pool.resend = true;
-  SendIfDue(now, grant.pool, pool);
-  return Take();
+    pool.demand_pending = true;
+  EmitDemandIfDue(now, grant.pool, pool);
+  return TakeActions();
 }
 
-// Returns whether any share became smaller.
+// Recomputes the shares in force. Returns whether any share became smaller.
 bool SlotHolder::UpdateShares(const PoolId& id, PoolState& pool) {
   bool smaller = false;
   for (auto& [host, state] : pool.hosts) {
-    uint32_t share = pool.granted
-                         ? std::min(Lookup(pool.grant, host), state.total)
-                         : state.fixed;
+    uint32_t share = pool.has_grant ? std::min(Lookup(pool.granted_slots, host),
+                                               state.total_slots)
+                                    : state.fixed_share;
     if (share == state.share)
       continue;
     smaller |= share < state.share;
@@ -304,23 +312,23 @@
   while (!wakes_.empty() && wakes_.begin()->first <= now) {
     PoolId id = wakes_.begin()->second;
     PoolState& pool = pools_.at(id);
-    if (pool.granted && pool.grant_ends <= now) {
-      pool.granted = false;
-      pool.grant.clear();
-      pool.grant_ends = kTimeMax;
+    if (pool.has_grant && pool.grant_expires <= now) {
+      pool.has_grant = false;
+      pool.granted_slots.clear();
+      pool.grant_expires = kTimeMax;
       UpdateShares(id, pool);
     }
-    SendIfDue(now, id, pool);
+    EmitDemandIfDue(now, id, pool);
   }
-  return Take();
+  return TakeActions();
 }
 
 void SlotHolder::UpdateWake(const PoolId& id, PoolState& pool) {
-  Time wake = pool.granted ? pool.grant_ends : kTimeMax;
+  Time wake = pool.has_grant ? pool.grant_expires : kTimeMax;
   if (!pool.allocator.empty()) {
-    wake = std::min(wake,
-                    pool.last_sent + (pool.resend ? options_.demand_interval
-                                                  : options_.renew_interval));
+    wake = std::min(wake, pool.last_sent_at + (pool.demand_pending
+                                                   ? options_.demand_interval
+                                                   : options_.renew_interval));
   }
   SetWake(wakes_, id, pool, wake);
 }
@@ -337,17 +345,15 @@
   return found == it->second.hosts.end() ? 0 : found->second.share;
 }
 
-bool SlotHolder::granted(const PoolId& id) const {
+bool SlotHolder::has_grant(const PoolId& id) const {
   auto it = pools_.find(id);
-  return it != pools_.end() && it->second.granted;
+  return it != pools_.end() && it->second.has_grant;
 }
 
-SlotActions SlotHolder::Take() {
+SlotActions SlotHolder::TakeActions() {
   return std::exchange(actions_, {});
 }
 
-// ---- Allocator --------------------------------------------------------------
-
 SlotAllocator::SlotAllocator(SlotOptions options,
                              MemberId self,
                              ZoneId zone,
@@ -361,53 +367,54 @@
                                       std::span<const MemberId> members) {
   std::vector<MemberId> bounded = BoundedMembers(members, options_.max_members);
   if (bounded == members_)
-    return Take();
+    return TakeActions();
   members_ = std::move(bounded);
   for (auto& [id, pool] : pools_)
-    UpdateOffice(now, id, pool);
-  return Take();
+    UpdateRole(now, id, pool);
+  return TakeActions();
 }
 
 SlotActions SlotAllocator::SetPool(Time now,
                                    const PoolId& id,
                                    std::span<const HostSlots> hosts) {
   if (!pools_.contains(id) && pools_.size() >= options_.max_pools)
-    return Take();
+    return TakeActions();
   PoolState& pool = pools_[id];
   pool.hosts = BoundedHosts(hosts, options_);
-  UpdateOffice(now, id, pool);
-  return Take();
+  UpdateRole(now, id, pool);
+  return TakeActions();
 }
 
 SlotActions SlotAllocator::RemovePool(Time, const PoolId& id) {
   auto it = pools_.find(id);
   if (it == pools_.end())
-    return Take();
+    return TakeActions();
   SetWake(wakes_, id, it->second, kTimeMax);
   pools_.erase(it);
-  return Take();
+  return TakeActions();
 }
 
-void SlotAllocator::UpdateOffice(Time now, const PoolId& id, PoolState& pool) {
-  bool allocator = AllocatorOf(id, zone_, members_) == self_;
-  if (!allocator || !pool.allocator) {
+void SlotAllocator::UpdateRole(Time now, const PoolId& id, PoolState& pool) {
+  bool is_allocator = AllocatorOf(id, zone_, members_) == self_;
+  if (!is_allocator || !pool.is_allocator) {
     pool.members.clear();
-    pool.office_from =
-        allocator ? now + options_.term + options_.margin : kTimeMax;
+    pool.serving_from = is_allocator
+                            ? now + options_.grant_term + options_.drift_margin
+                            : kTimeMax;
   }
-  pool.allocator = allocator;
+  pool.is_allocator = is_allocator;
   for (auto& [member_id, member] : pool.members)
     member.live = false;
-  if (allocator) {
+  if (is_allocator) {
     for (const MemberId& member : members_) {
       pool.members[member].live = true;
-      RefreshFixed(pool, member, pool.members[member]);
+      UpdateFixedShares(pool, member, pool.members[member]);
     }
   }
   for (auto& [member_id, member] : pool.members) {
     if (member.live)
       continue;
-    // Its grants stay counted until they expire.
+    // The grants of a member that left stay counted until they expire.
     member.active = false;
     member.answer_due = false;
     member.push_due = false;
@@ -415,12 +422,12 @@
   Rebalance(now, id, pool);
 }
 
-void SlotAllocator::RefreshFixed(const PoolState& pool,
-                                 const MemberId& id,
-                                 MemberState& member) {
-  member.fixed.clear();
+void SlotAllocator::UpdateFixedShares(const PoolState& pool,
+                                      const MemberId& id,
+                                      MemberState& member) {
+  member.fixed_shares.clear();
   for (const auto& [host, slots] : pool.hosts)
-    member.fixed[host] = FixedShare(host, slots, id, members_);
+    member.fixed_shares[host] = FixedShare(host, slots, id, members_);
 }
 
 SlotActions SlotAllocator::HandleDemand(Time now,
@@ -429,10 +436,10 @@
   ++counters_.demands;
   auto ignore = [&] {
     ++counters_.demands_ignored;
-    return Take();
+    return TakeActions();
   };
   auto it = pools_.find(demand.pool);
-  if (it == pools_.end() || !it->second.allocator || demand.zone != zone_ ||
+  if (it == pools_.end() || !it->second.is_allocator || demand.zone != zone_ ||
       demand.member != from || demand.above_grant.size() > options_.max_hosts)
     return ignore();
   PoolState& pool = it->second;
@@ -445,10 +452,10 @@
     return ignore();
   member.incarnation = demand.incarnation;
   member.demand_sequence = demand.sequence;
-  member.heard = now;
+  member.last_heard = now;
   member.active = true;
   member.wanted = std::min(demand.wanted, Sum(pool.hosts));
-  member.assumed = demand.applied_grant == 0;
+  member.may_use_fixed_share = demand.applied_grant == 0;
   member.above_grant.clear();
   for (const HostSlots& host : demand.above_grant) {
     uint32_t total = Lookup(pool.hosts, host.host);
@@ -457,20 +464,20 @@
   }
   bool applied_known = std::any_of(
       member.grants.begin(), member.grants.end(),
-      [&](const Outstanding& g) { return g.sequence == demand.applied_grant; });
+      [&](const IssuedGrant& g) { return g.sequence == demand.applied_grant; });
   while (applied_known && member.grants.front().sequence < demand.applied_grant)
     member.grants.pop_front();
   member.answer_due = true;
   Rebalance(now, demand.pool, pool);
-  return Take();
+  return TakeActions();
 }
 
 uint32_t SlotAllocator::CommittedTo(const MemberState& member,
                                     const HostId& host) {
   uint32_t committed = Lookup(member.above_grant, host);
-  if (member.assumed && member.live)
-    committed = std::max(committed, Lookup(member.fixed, host));
-  for (const Outstanding& grant : member.grants)
+  if (member.may_use_fixed_share && member.live)
+    committed = std::max(committed, Lookup(member.fixed_shares, host));
+  for (const IssuedGrant& grant : member.grants)
     committed = std::max(committed, Lookup(grant.slots, host));
   return committed;
 }
@@ -485,30 +492,33 @@
   return sum;
 }
 
-bool SlotAllocator::in_office(Time now, const PoolId& id) const {
+bool SlotAllocator::is_serving(Time now, const PoolId& id) const {
   auto it = pools_.find(id);
-  return it != pools_.end() && it->second.allocator &&
-         now >= it->second.office_from;
+  return it != pools_.end() && it->second.is_allocator &&
+         now >= it->second.serving_from;
 }
 
-void SlotAllocator::Expire(Time now, PoolState& pool) {
+void SlotAllocator::ExpireGrants(Time now, PoolState& pool) {
   for (auto it = pool.members.begin(); it != pool.members.end();) {
     MemberState& member = it->second;
-    // Expiry grows with the sequence, since it counts from the last demand.
+    // Later grants never expire earlier: the term of each counts from the last
+    // demand before it. So only the front needs a check.
     while (!member.grants.empty() && member.grants.front().expires <= now) {
       member.grants.pop_front();
-      ++counters_.expired;
+      ++counters_.grants_expired;
     }
     if (member.active &&
-        member.heard + options_.term + options_.margin <= now) {
+        member.last_heard + options_.grant_term + options_.drift_margin <=
+            now) {
       member.active = false;
       member.answer_due = false;
       member.push_due = false;
       member.above_grant.clear();
-      // It uses its fixed share if it still runs. Holding that back for a
-      // process that most likely ended would idle one share of the pool until
-      // the membership drops it.
-      member.assumed = false;
+      // If the member still runs, it uses its fixed shares, beside the slots
+      // granted to others. Its slots are not reserved nevertheless: most likely
+      // the process ended, and they would stay idle until the membership
+      // removes it.
+      member.may_use_fixed_share = false;
     }
     if (!member.live && member.grants.empty())
       it = pool.members.erase(it);
@@ -517,44 +527,47 @@
   }
 }
 
-// Max-min fair numbers of slots for the members that send demands: nobody gets
-// more than it wants while another gets less. What nobody wants is divided
-// evenly, as headroom for a rise of load before the next demand.
-std::map<MemberId, uint32_t> SlotAllocator::Targets(
+// Returns the max-min fair number of slots for each active member: no member
+// gets more than it wants while another gets less than it wants. Slots that no
+// member wants are divided evenly, as headroom for a rise of load before the
+// next demand. Slots that other members may be using are left out.
+std::map<MemberId, uint32_t> SlotAllocator::ComputeTargets(
     const PoolState& pool) const {
   uint32_t capacity = Sum(pool.hosts);
-  std::vector<std::pair<uint32_t, MemberId>> order;
+  std::vector<std::pair<uint32_t, MemberId>> by_wanted;
   for (const auto& [id, member] : pool.members) {
     if (member.live && member.active) {
-      order.emplace_back(member.wanted, id);
+      by_wanted.emplace_back(member.wanted, id);
       continue;
     }
-    uint32_t kept = 0;
+    uint32_t reserved = 0;
     for (const auto& [host, slots] : pool.hosts)
-      kept += CommittedTo(member, host);
-    capacity -= std::min(capacity, kept);
+      reserved += CommittedTo(member, host);
+    capacity -= std::min(capacity, reserved);
   }
-  std::sort(order.begin(), order.end());
+  std::sort(by_wanted.begin(), by_wanted.end());
   std::map<MemberId, uint32_t> targets;
-  auto left = static_cast<uint32_t>(order.size());
-  for (const auto& [wanted, id] : order) {
-    uint32_t target = std::min(wanted, (capacity + left - 1) / left);
+  auto remaining_members = static_cast<uint32_t>(by_wanted.size());
+  for (const auto& [wanted, id] : by_wanted) {
+    uint32_t target = std::min(
+        wanted, (capacity + remaining_members - 1) / remaining_members);
     targets[id] = target;
     capacity -= target;
-    --left;
+    --remaining_members;
   }
-  auto count = static_cast<uint32_t>(order.size());
-  for (size_t i = 0; i < order.size(); ++i)
-    targets[order[i].second] +=
+  auto count = static_cast<uint32_t>(by_wanted.size());
+  for (size_t i = 0; i < by_wanted.size(); ++i)
+    targets[by_wanted[i].second] +=
         capacity / count + (i < capacity % count ? 1 : 0);
   return targets;
 }
 
-// The slots of the member after growing or shrinking towards `target`.
-std::map<HostId, uint32_t> SlotAllocator::Resize(const PoolState& pool,
-                                                 const MemberId& id,
-                                                 const MemberState& member,
-                                                 uint32_t target) {
+// Returns the slots of the member's next grant: those of its newest grant,
+// grown or shrunk towards `target` in total. Grows only by slots that are free.
+std::map<HostId, uint32_t> SlotAllocator::ResizeGrant(const PoolState& pool,
+                                                      const MemberId& id,
+                                                      const MemberState& member,
+                                                      uint32_t target) {
   std::map<HostId, uint32_t> slots;
   if (!member.grants.empty()) {
     for (const auto& [host, count] : member.grants.back().slots) {
@@ -563,8 +576,8 @@
     }
   }
   uint32_t held = Sum(slots);
-  // Ties are broken differently for each member, so that members spread over
-  // different hosts.
+  // The tie-break weight depends on the member, so that different members give
+  // up or get slots on different hosts.
   if (held > target) {
     std::priority_queue<std::tuple<uint32_t, uint64_t, HostId>> largest;
     for (const auto& [host, count] : slots) {
@@ -579,7 +592,8 @@
     }
     return slots;
   }
-  // Most free first: keeps the hosts evenly loaded.
+  // The host with the most free slots comes first, which keeps the hosts evenly
+  // loaded.
   std::priority_queue<std::tuple<uint32_t, uint64_t, HostId>> freest;
   for (const auto& [host, total] : pool.hosts) {
     uint32_t taken = Lookup(slots, host);
@@ -603,11 +617,12 @@
 }
 
 void SlotAllocator::Rebalance(Time now, const PoolId& id, PoolState& pool) {
-  Expire(now, pool);
-  if (pool.allocator && now >= pool.office_from) {
-    std::map<MemberId, uint32_t> targets = Targets(pool);
-    // Members that lack slots they want. Only for their sake are slots taken
-    // back from others, because every take-back costs a round trip.
+  ExpireGrants(now, pool);
+  if (pool.is_allocator && now >= pool.serving_from) {
+    std::map<MemberId, uint32_t> targets = ComputeTargets(pool);
+    // Whether some member lacks slots that it wants and is entitled to. Slots
+    // are taken back from other members only then, because each take-back costs
+    // a round trip.
     bool shortage = false;
     for (const auto& [member_id, target] : targets) {
       const MemberState& member = pool.members.at(member_id);
@@ -616,36 +631,38 @@
       shortage |= held < std::min(member.wanted, target);
     }
     for (const auto& [member_id, target] : targets)
-      Serve(now, id, pool, member_id, target, shortage);
+      IssueGrantIfDue(now, id, pool, member_id, target, shortage);
   }
   UpdateWake(now, id, pool);
 }
 
-void SlotAllocator::Serve(Time now,
-                          const PoolId& id,
-                          PoolState& pool,
-                          const MemberId& member_id,
-                          uint32_t target,
-                          bool shortage) {
+void SlotAllocator::IssueGrantIfDue(Time now,
+                                    const PoolId& id,
+                                    PoolState& pool,
+                                    const MemberId& member_id,
+                                    uint32_t target,
+                                    bool shortage) {
   MemberState& member = pool.members.at(member_id);
-  bool none = member.grants.empty();
-  uint32_t held = none ? 0 : Sum(member.grants.back().slots);
+  bool no_grant = member.grants.empty();
+  uint32_t held = no_grant ? 0 : Sum(member.grants.back().slots);
   if (!shortage)
     target = std::max(target, held);
   member.push_due = target < held || held < std::min(member.wanted, target);
   if (!member.answer_due && !member.push_due)
     return;
-  if (now < member.last_grant + options_.push_interval)
+  if (now < member.last_grant_at + options_.push_interval)
     return;
-  std::map<HostId, uint32_t> slots = Resize(pool, member_id, member, target);
-  if (!member.answer_due && !none && slots == member.grants.back().slots) {
-    // Nothing is free yet; the next demand or expiry changes that.
+  std::map<HostId, uint32_t> slots =
+      ResizeGrant(pool, member_id, member, target);
+  if (!member.answer_due && !no_grant && slots == member.grants.back().slots) {
+    // No slot is free yet. The next demand or expiry rebalances the pool again.
     member.push_due = false;
     return;
   }
-  Outstanding grant;
+  IssuedGrant grant;
   grant.sequence = next_sequence_++;
-  grant.expires = member.heard + options_.term + options_.margin;
+  grant.expires =
+      member.last_heard + options_.grant_term + options_.drift_margin;
   grant.slots = std::move(slots);
   SlotGrant message;
   message.pool = id;
@@ -660,13 +677,13 @@
     if (count == 0)
       continue;
     message.slots.push_back({host, count});
-    bool grew = none || count > Lookup(member.grants.back().slots, host);
+    bool grew = no_grant || count > Lookup(member.grants.back().slots, host);
     uint32_t others = committed(id, host) - CommittedTo(member, host);
     RADISHMOOR_INVARIANT("slots.grants_within_host",
                          !grew || others + count <= pool.hosts.at(host));
   }
   member.grants.push_back(std::move(grant));
-  member.last_grant = now;
+  member.last_grant_at = now;
   member.answer_due = false;
   member.push_due = false;
   ++counters_.grants;
@@ -678,21 +695,22 @@
     PoolId id = wakes_.begin()->second;
     Rebalance(now, id, pools_.at(id));
   }
-  return Take();
+  return TakeActions();
 }
 
 void SlotAllocator::UpdateWake(Time now, const PoolId& id, PoolState& pool) {
   Time wake = kTimeMax;
-  if (pool.allocator && now < pool.office_from)
-    wake = pool.office_from;
+  if (pool.is_allocator && now < pool.serving_from)
+    wake = pool.serving_from;
   for (const auto& [member_id, member] : pool.members) {
     if (!member.grants.empty())
       wake = std::min(wake, member.grants.front().expires);
     if (member.active) {
-      wake = std::min(wake, member.heard + options_.term + options_.margin);
+      wake = std::min(wake, member.last_heard + options_.grant_term +
+                                options_.drift_margin);
     }
-    if ((member.answer_due || member.push_due) && now >= pool.office_from)
-      wake = std::min(wake, member.last_grant + options_.push_interval);
+    if ((member.answer_due || member.push_due) && now >= pool.serving_from)
+      wake = std::min(wake, member.last_grant_at + options_.push_interval);
   }
   SetWake(wakes_, id, pool, wake);
 }
@@ -701,7 +719,7 @@
   return wakes_.empty() ? kTimeMax : wakes_.begin()->first;
 }
 
-SlotActions SlotAllocator::Take() {
+SlotActions SlotAllocator::TakeActions() {
   return std::exchange(actions_, {});
 }
 
--- a/radishmoor/slots/slot_shares.h
+++ b/radishmoor/slots/slot_shares.h
@@ -1,7 +1,11 @@
-// Shares of worker slots between the entry processes of an availability zone.
+// Divides the request slots of hosts between the entry processes of an
+// availability zone. A slot is the right to have one request in flight on a
+// host. SlotHolder and SlotAllocator perform no I/O: they return the messages
+// to send as actions.
 //
-// SlotHolder decides how many requests this process may have in flight on each
-// host; SlotAllocator runs in every process and serves the pools for which this
+// Every entry process is a member of its zone and runs both classes. SlotHolder
+// decides how many requests the process may have in flight on each host.
+// SlotAllocator grants slots to the members, for those pools for which its
 // process has the highest rendezvous weight among the live members.
 //
 //   SlotHolder holder(options, self, zone, incarnation);
@@ -10,14 +14,16 @@
 //   Send(holder.SetWanted(now, pool, in_flight + queued));
 //   if (in_flight_on_host < holder.share(pool, host)) ...
 //
-// A grant ends `term` after the holder sent the demand that it answers, by the
-// holder's clock. The allocator counts the same slots as taken until `term +
-// margin` after it sent the grant, by its own clock, or until the holder
-// reports that a later grant replaced it. Late, repeated and crossed messages
-// are recognised by their sequence numbers and change nothing.
+// A grant is a lease. By the holder's clock it expires `grant_term` after the
+// holder sent the demand that the grant answers. The allocator counts the
+// granted slots as taken until `grant_term + drift_margin` after it received
+// that demand, by its own clock, or until the holder reports that it uses a
+// later grant. Late, repeated and reordered messages are recognised by their
+// sequence numbers and ignored.
 //
-// Without a valid grant the holder uses its fixed share: the host's slots
-// divided by the number of members, the remainder by rendezvous weight.
+// Without a valid grant the holder uses its fixed share of each host: the
+// host's slots divided by the number of members; the members with the highest
+// rendezvous weights for the host get one slot of the remainder each.
 
 #ifndef RADISHMOOR_SLOTS_SLOT_SHARES_H_
 #define RADISHMOOR_SLOTS_SLOT_SHARES_H_
@@ -37,18 +43,22 @@
 namespace radishmoor {
 
 struct SlotOptions {
-  // Validity of a grant, from the sending of the demand.
-  Duration term = Seconds(1);
-  // Bound of the clock drift between two processes over one term. 50 ms is 5%
-  // of the term; a process paused for longer finds its own grant expired.
-  Duration margin = Milliseconds(50);
-  // Demands are sent on change, at most this often.
+  // How long a grant is valid, from when its holder sent the demand.
+  Duration grant_term = Seconds(1);
+  // Upper bound of the drift between two processes' clocks over one term. 50 ms
+  // is 5% of the term. Pauses need no margin: a process that was paused finds
+  // by its own clock that its grant expired.
+  Duration drift_margin = Milliseconds(50);
+  // Minimum time between two demands for a pool. A change is sent at once if
+  // the last demand is older than this.
   Duration demand_interval = Milliseconds(100);
-  // Demands are repeated without change, so that grants do not run out.
+  // Unchanged demands are repeated at this interval, which renews the grants
+  // before they expire.
   Duration renew_interval = Milliseconds(300);
-  // Grants that answer no new demand are sent at most this often to a member.
+  // Minimum time between two grants of a pool to the same member.
   Duration push_interval = Milliseconds(50);
-  // Bounds against hostile or faulty peers and configurations.
+  // Limits that bound memory against hostile or faulty peers and
+  // configurations.
   size_t max_members = 64;
   size_t max_pools = 512;
   size_t max_hosts = 2048;  // Per pool and zone.
@@ -62,34 +72,39 @@
   friend bool operator==(const HostSlots&, const HostSlots&) = default;
 };
 
-// Holder to allocator.
+// Message from a holder to the allocator of the pool. Asks for slots, renews
+// the holder's grant, and acknowledges the grant in use.
 struct SlotDemand {
   PoolId pool;
   ZoneId zone;
   MemberId member;
   Incarnation incarnation;
   uint64_t sequence = 0;  // Grows with every demand of this incarnation.
-  // `grant` sequence of the grant in use and the allocator that issued it; 0
-  // when the holder uses its fixed share.
+  // SlotGrant::sequence of the grant in use. 0 if the holder uses its fixed
+  // share, or a grant of an allocator other than the receiver.
   uint64_t applied_grant = 0;
-  uint32_t wanted = 0;  // Slots in use plus requests waiting.
-  uint32_t in_use = 0;
-  // Hosts on which more slots are in use than the grant in use allows, because
-  // running requests are not interrupted when a grant shrinks.
+  // Slots in use plus requests waiting for a slot, averaged over the time since
+  // the previous demand; at least the present number while requests wait.
+  uint32_t wanted = 0;
+  uint32_t in_use = 0;  // Requests in flight on all hosts of the pool.
+  // Slots in use on hosts where they exceed the holder's share. This happens
+  // because running requests are not interrupted when a share shrinks.
   std::vector<HostSlots> above_grant;
 };
 
-// Allocator to holder.
+// Message from the allocator of a pool to a holder. Replaces the holder's
+// earlier grant for the pool.
 struct SlotGrant {
   PoolId pool;
   ZoneId zone;
   MemberId allocator;
   MemberId member;
-  Incarnation incarnation;  // Of the holder, from its demand.
+  Incarnation incarnation;  // The holder's, copied from its demand.
   Incarnation allocator_incarnation;
-  uint64_t demand_sequence = 0;  // The demand from which the term counts.
+  // The grant's term starts when the holder sent the demand with this sequence.
+  uint64_t demand_sequence = 0;
   uint64_t sequence = 0;         // Grows with every grant of this allocator.
-  std::vector<HostSlots> slots;  // Hosts without an entry have 0.
+  std::vector<HostSlots> slots;  // Hosts without an entry have no slots.
 };
 
 struct SendDemand {
@@ -100,7 +115,8 @@
   MemberId to;
   SlotGrant grant;
 };
-// The share of one host changed.
+// The number of requests that this process may have in flight on the host is
+// now `slots`.
 struct ShareChanged {
   PoolId pool;
   HostId host;
@@ -110,14 +126,15 @@
 using SlotAction = std::variant<SendDemand, SendGrant, ShareChanged>;
 using SlotActions = std::vector<SlotAction>;
 
-// The member with the highest rendezvous weight for the pool and zone; empty
-// without members.
+// Returns the member with the highest rendezvous weight for the pool and zone,
+// or an empty id if there are no members.
 MemberId AllocatorOf(const PoolId& pool,
                      const ZoneId& zone,
                      std::span<const MemberId> members);
 
-// Share of `member` of a host with `slots` slots when no allocator is in
-// office. The shares of all members add up to `slots`.
+// Returns how many of the host's `slots` slots `member` may use without a
+// grant. The fixed shares of all members add up to `slots`. Returns 0 if
+// `member` is not in `members`.
 uint32_t FixedShare(const HostId& host,
                     uint32_t slots,
                     const MemberId& member,
@@ -130,70 +147,85 @@
              ZoneId zone,
              Incarnation incarnation);
 
-  // Live members of the zone, this process included. Excess ones are ignored.
+  // Sets the live members of the zone, including this process. Members beyond
+  // SlotOptions::max_members, in the order of their ids, are ignored.
   SlotActions SetMembers(Time now, std::span<const MemberId> members);
-  // Hosts of the pool in this zone with their total numbers of slots.
+  // Sets the hosts of the pool in this zone with their total numbers of slots.
+  // Ignores a new pool beyond SlotOptions::max_pools, and hosts beyond
+  // SlotOptions::max_hosts in the order of their ids.
   SlotActions SetPool(Time now,
                       const PoolId& pool,
                       std::span<const HostSlots> hosts);
   SlotActions RemovePool(Time now, const PoolId& pool);
 
-  // Requests of the pool in flight plus those waiting for a slot.
+  // Sets the number of the pool's requests in flight plus those waiting for a
+  // slot.
   SlotActions SetWanted(Time now, const PoolId& pool, uint32_t wanted);
-  // Requests in flight on one host. Cheap: sends nothing itself.
+  // Sets the number of requests in flight on one host. Sends no message; the
+  // next demand reports the number.
   void SetInUse(const PoolId& pool, const HostId& host, uint32_t in_use);
 
-  // `from` is the authenticated sender.
+  // Handles a grant from the authenticated sender `from`. Ignores it if it is
+  // late, superseded, or not from the pool's allocator.
   SlotActions HandleGrant(Time now,
                           const MemberId& from,
                           const SlotGrant& grant);
 
+  // Emits demands that are due and drops expired grants. Call it at next_wake()
+  // or later.
   SlotActions Tick(Time now);
   Time next_wake() const;
 
-  // 0 for unknown pools and hosts.
+  // Returns how many requests this process may have in flight on the host; 0
+  // for unknown pools and hosts.
   uint32_t share(const PoolId& pool, const HostId& host) const;
-  // Whether a grant is in use, as opposed to the fixed share.
-  bool granted(const PoolId& pool) const;
+  // Returns whether the process uses a grant for the pool, rather than its
+  // fixed shares.
+  bool has_grant(const PoolId& pool) const;
 
  private:
   struct HostState {
-    uint32_t total = 0;
-    uint32_t fixed = 0;  // Share without a grant.
-    uint32_t share = 0;
+    uint32_t total_slots = 0;
+    uint32_t fixed_share = 0;
+    uint32_t share = 0;  // In force: as granted, or the fixed share.
     uint32_t in_use = 0;
   };
   struct SentDemand {
     uint64_t sequence;
-    Time at;
+    Time sent_at;
   };
   struct PoolState {
     std::map<HostId, HostState> hosts;
     MemberId allocator;
     uint32_t wanted = 0;
-    double wanted_time = 0;  // Slots times seconds since the last demand.
-    Time wanted_since = kTimeZero;
-    uint32_t sent_wanted = 0;
-    bool resend = true;  // A change has not been sent.
-    Time last_sent = kTimeZero - Seconds(3600);
-    std::deque<SentDemand> sent;  // Those whose grants could still be valid.
-    bool granted = false;
-    Time grant_ends = kTimeMax;
-    std::map<HostId, uint32_t> grant;
-    uint64_t applied = 0;  // 0 when `grant` is not of this allocator.
+    // Integral of `wanted` over time, from the last demand to `wanted_updated`.
+    double wanted_slot_seconds = 0;
+    Time wanted_updated = kTimeZero;  // Last call of SetWanted() or demand.
+    uint32_t last_sent_wanted = 0;
+    bool demand_pending = true;  // A change has not been sent yet.
+    Time last_sent_at = kTimeZero - Seconds(3600);
+    // Demands not older than one term; grants that answer older demands have
+    // expired.
+    std::deque<SentDemand> sent_demands;
+    bool has_grant = false;
+    Time grant_expires = kTimeMax;
+    std::map<HostId, uint32_t> granted_slots;
+    // Sequence of the grant in use; 0 if it is not from the present allocator.
+    uint64_t applied_sequence = 0;
+    // Of the newest grant accepted from the present allocator.
     Incarnation accepted_incarnation;
     uint64_t accepted_sequence = 0;
-    Time wake = kTimeMax;
+    Time wake = kTimeMax;  // Key of this pool in `wakes_`; kTimeMax if absent.
   };
 
-  void Send(Time now, const PoolId& id, PoolState& pool);
+  void EmitDemand(Time now, const PoolId& id, PoolState& pool);
   static uint32_t AverageWanted(Time now, const PoolState& pool);
-  void SendIfDue(Time now, const PoolId& id, PoolState& pool);
+  void EmitDemandIfDue(Time now, const PoolId& id, PoolState& pool);
   void UpdateAllocator(const PoolId& id, PoolState& pool);
-  void RefreshFixed(PoolState& pool);
+  void UpdateFixedShares(PoolState& pool);
   bool UpdateShares(const PoolId& id, PoolState& pool);
   void UpdateWake(const PoolId& id, PoolState& pool);
-  SlotActions Take();
+  SlotActions TakeActions();
 
   SlotOptions options_;
   MemberId self_;
@@ -208,9 +240,11 @@
 
 struct SlotAllocatorCounters {
   uint64_t demands = 0;
-  uint64_t demands_ignored = 0;  // Unknown pool or member, late, repeated.
+  // Demands that are late, repeated, malformed, for a pool that this process
+  // does not allocate, or not from a live member.
+  uint64_t demands_ignored = 0;
   uint64_t grants = 0;
-  uint64_t expired = 0;
+  uint64_t grants_expired = 0;
 };
 
 class SlotAllocator {
@@ -226,75 +260,83 @@
                       std::span<const HostSlots> hosts);
   SlotActions RemovePool(Time now, const PoolId& pool);
 
-  // `from` is the authenticated sender.
+  // Handles a demand from the authenticated sender `from`. Ignores it as
+  // described at SlotAllocatorCounters::demands_ignored.
   SlotActions HandleDemand(Time now,
                            const MemberId& from,
                            const SlotDemand& demand);
 
+  // Expires grants and issues those that are due. Call it at next_wake() or later.
   SlotActions Tick(Time now);
   Time next_wake() const;
 
-  // Whether this process allocates the pool now. It takes office one term and
-  // margin after the change of members, when grants of its predecessor have
-  // run out.
-  bool in_office(Time now, const PoolId& pool) const;
-  // Slots of the host that members may be using under any grant.
+  // Returns whether this process issues grants for the pool. It starts
+  // `grant_term + drift_margin` after the change of members that made it the
+  // allocator, when all grants of the previous allocator have expired.
+  bool is_serving(Time now, const PoolId& pool) const;
+  // Returns an upper bound of the slots of the host that members may be using:
+  // under unexpired grants, as fixed shares, or above a grant that shrank. 0
+  // for unknown pools and hosts.
   uint32_t committed(const PoolId& pool, const HostId& host) const;
 
   const SlotAllocatorCounters& counters() const { return counters_; }
 
  private:
-  struct Outstanding {
+  struct IssuedGrant {
     uint64_t sequence;
     Time expires;
     std::map<HostId, uint32_t> slots;
   };
   struct MemberState {
     bool live = false;  // In the list of members.
-    // Demands arrive. A member that never sent one, or no longer does, gets no
-    // grants.
+    // A demand arrived within the last `grant_term + drift_margin`. Only active
+    // members get grants.
     bool active = false;
-    // May be using its fixed share: not heard yet, or it said so.
-    bool assumed = true;
+    // The member may be using its fixed shares: it sent no demand yet, or its
+    // last demand reported no grant in use. False for a member that became
+    // inactive.
+    bool may_use_fixed_share = true;
     Incarnation incarnation;
     uint64_t demand_sequence = 0;
     uint32_t wanted = 0;
-    Time heard = kTimeZero;
-    std::deque<Outstanding> grants;  // Oldest first; the last is in force.
-    std::map<HostId, uint32_t> above_grant;
-    std::map<HostId, uint32_t> fixed;
-    Time last_grant = kTimeZero - Seconds(3600);
-    bool answer_due = false;
-    bool push_due = false;
+    Time last_heard = kTimeZero;
+    // Unexpired grants that the member may be using, oldest first. The last one
+    // is the newest that was issued.
+    std::deque<IssuedGrant> grants;
+    std::map<HostId, uint32_t> above_grant;  // From the last demand.
+    std::map<HostId, uint32_t> fixed_shares;
+    Time last_grant_at = kTimeZero - Seconds(3600);
+    bool answer_due = false;  // The last demand has not been answered.
+    bool push_due = false;    // The slots should change without a new demand.
   };
   struct PoolState {
     std::map<HostId, uint32_t> hosts;
-    bool allocator = false;
-    Time office_from = kTimeMax;
+    bool is_allocator = false;  // This process is the pool's allocator.
+    Time serving_from = kTimeMax;
     std::map<MemberId, MemberState> members;
-    Time wake = kTimeMax;
+    Time wake = kTimeMax;  // Key of this pool in `wakes_`; kTimeMax if absent.
   };
 
   static uint32_t CommittedTo(const MemberState& member, const HostId& host);
-  static std::map<HostId, uint32_t> Resize(const PoolState& pool,
-                                           const MemberId& id,
-                                           const MemberState& member,
-                                           uint32_t target);
-  void Expire(Time now, PoolState& pool);
-  std::map<MemberId, uint32_t> Targets(const PoolState& pool) const;
+  static std::map<HostId, uint32_t> ResizeGrant(const PoolState& pool,
+                                                const MemberId& id,
+                                                const MemberState& member,
+                                                uint32_t target);
+  void ExpireGrants(Time now, PoolState& pool);
+  std::map<MemberId, uint32_t> ComputeTargets(const PoolState& pool) const;
   void Rebalance(Time now, const PoolId& id, PoolState& pool);
-  void Serve(Time now,
-             const PoolId& id,
-             PoolState& pool,
-             const MemberId& member_id,
-             uint32_t target,
-             bool shortage);
-  void RefreshFixed(const PoolState& pool,
-                    const MemberId& id,
-                    MemberState& member);
+  void IssueGrantIfDue(Time now,
+                       const PoolId& id,
+                       PoolState& pool,
+                       const MemberId& member_id,
+                       uint32_t target,
+                       bool shortage);
+  void UpdateFixedShares(const PoolState& pool,
+                         const MemberId& id,
+                         MemberState& member);
   void UpdateWake(Time now, const PoolId& id, PoolState& pool);
-  void UpdateOffice(Time now, const PoolId& id, PoolState& pool);
-  SlotActions Take();
+  void UpdateRole(Time now, const PoolId& id, PoolState& pool);
+  SlotActions TakeActions();
 
   SlotOptions options_;
   MemberId self_;
--- a/radishmoor/slots/testing/slots_bench.cc
+++ b/radishmoor/slots/testing/slots_bench.cc
@@ -1,12 +1,18 @@
-// Compares ways to share the slots of workers between entry processes, in
-// virtual time with steps of 1 ms: one pool of 10 workers with 8 slots and 9
-// entry processes; run times are exponential with a mean of 20 ms.
+// Compares schemes for sharing the slots of hosts between entry processes. Runs
+// in virtual time with steps of 1 ms: one pool of 10 hosts with 8 slots each,
+// and 9 entry processes. The run times of requests are exponentially
+// distributed with a mean of 20 ms. A message between a process and a host
+// takes 1 ms.
 //
 //   slots_bench [--json]
 //
-// Phases: 80% load of which one process at a time gets 40%; a peak at four
-// times the capacity; then, at 80%, the allocator is killed and another process
-// loses contact to its peers. Prints medians and ranges over the seeds.
+// The load is 80% of the capacity of all slots. One process, a different one
+// each second, gets 40% of the requests; the rest is spread over all processes
+// at random. Phases:
+//   steady: no faults.
+//   peak:   the load is four times the capacity for the first 2 s.
+//   faults: the allocator is killed; 2 s later another process is partitioned.
+// Prints the median, minimum and maximum over the seeds.
 
 #include <cmath>
 #include <cstdio>
@@ -19,228 +25,270 @@
 namespace {
 
 constexpr int kProcesses = 9;
-constexpr int kWorkers = 10;
-constexpr int kSlots = 8;
-constexpr int kMeanRun = 20;
-constexpr size_t kMaxQueue = 64;  // Per process; more is refused.
+constexpr int kHosts = 10;
+constexpr int kSlotsPerHost = 8;
+constexpr int kMeanRunMs = 20;
+// A process refuses requests beyond this number.
+constexpr size_t kMaxQueuedRequests = 64;
 constexpr int kSeeds = 5;
-constexpr int kEnd = 17'000;
+constexpr int kEndMs = 17'000;
 
-// kQuick sends demands every 20 ms. kBoth uses the larger of the leased share
-// and the learned limit, so that a process borrows what others leave idle.
-enum Scheme { kFixed, kLeased, kQuick, kBoth, kProbing, kLearned };
+// How a process limits its requests in flight on a host:
+//   kFixed: to its fixed share.
+//   kLeased: to the share that SlotHolder returns.
+//   kLeasedFast: as kLeased, with demands at most every 20 ms.
+//   kProbing: not at all; sends each request to the less loaded of two random
+//     hosts, which it asks for their load first.
+//   kLearned: to a limit that grows with completed requests and shrinks
+//     when the host rejects one because all its slots are in use.
+//   kLeasedPlusLearned: to the larger of the leased share and the learned
+//     limit, so that a process uses slots that others leave idle.
+enum Scheme {
+  kFixed,
+  kLeased,
+  kLeasedFast,
+  kLeasedPlusLearned,
+  kProbing,
+  kLearned
+};
 const char* const kSchemes[] = {"fixed",          "leased",  "leased-20ms",
                                 "leased+learned", "probing", "learned"};
 struct Phase {
   const char* name;
-  int from, to;
+  int from_ms, to_ms;
 };
 const Phase kPhases[] = {{"steady", 2000, 6000},
                          {"peak", 6000, 9000},
-                         {"faults", 11'000, kEnd}};
-constexpr int kKilledAt = 11'000;
-constexpr int kCutAt = 13'000;
-constexpr int kDropAfter = 3000;  // Peers drop a silent member.
+                         {"faults", 11'000, kEndMs}};
+constexpr int kKillAllocatorAtMs = 11'000;
+constexpr int kPartitionAtMs = 13'000;
+constexpr int kMemberTimeoutMs = 3000;  // Peers then remove a silent member.
 
+// Results of one simulation run. `idle_while_waiting` counts, in every
+// millisecond, the free slots that queued requests could have used;
+// Bench::Run() returns it as a percentage of all slots.
 struct Result {
-  double done = 0, refused = 0, full = 0, idle = 0;
-  std::vector<int> waits;
+  double completed = 0, refused = 0, rejected_by_host = 0,
+         idle_while_waiting = 0;
+  std::vector<int> waits_ms;
   double Quantile(double q) {
-    std::sort(waits.begin(), waits.end());
-    return waits.empty() ? 0
-                         : waits[static_cast<size_t>(
-                               q * static_cast<double>(waits.size() - 1))];
+    std::sort(waits_ms.begin(), waits_ms.end());
+    return waits_ms.empty()
+               ? 0
+               : waits_ms[static_cast<size_t>(
+                     q * static_cast<double>(waits_ms.size() - 1))];
   }
 };
 
+// One simulation run. `p` is the index of an entry process, `h` that of a host.
 class Bench {
  public:
   Bench(Scheme scheme, uint64_t seed)
       : scheme_(scheme),
         random_(seed),
-        zone_(kProcesses, kWorkers, seed, ZoneOptions(scheme)),
-        events_(kEnd + 4000) {
-    for (auto& limits : limit_)
-      std::fill(std::begin(limits), std::end(limits), double{kSlots});
+        zone_(kProcesses, kHosts, seed, ZoneOptions(scheme)),
+        events_(kEndMs + 4000) {
+    for (auto& limits : learned_limit_)
+      std::fill(std::begin(limits), std::end(limits), double{kSlotsPerHost});
   }
 
   Result Run(const Phase& phase) {
-    for (now_ = 0; now_ < phase.to; ++now_) {
-      result_ = now_ >= phase.from ? &measured_ : &ignored_;
-      Faults();
-      Arrivals();
-      // An event may add another one for the same millisecond.
-      for (size_t i = 0; i < events_[now_].size(); ++i)
-        Handle(Event(events_[now_][i]));
+    for (now_ms_ = 0; now_ms_ < phase.to_ms; ++now_ms_) {
+      result_ = now_ms_ >= phase.from_ms ? &measured_ : &unmeasured_;
+      InjectFaults();
+      AddArrivals();
+      // Handling an event may add another one for the same millisecond.
+      for (size_t i = 0; i < events_[now_ms_].size(); ++i)
+        Handle(Event(events_[now_ms_][i]));
       for (int p = 0; p < kProcesses; ++p)
         Dispatch(p);
-      if (Leased(scheme_))
-        Share();
+      if (UsesLeases(scheme_))
+        UpdateShares();
       int waiting = 0;
       int free = 0;
       for (const auto& queue : queue_)
         waiting += static_cast<int>(queue.size());
       for (int running : running_)
-        free += kSlots - running;
-      result_->idle += std::min(free, waiting);
+        free += kSlotsPerHost - running;
+      result_->idle_while_waiting += std::min(free, waiting);
     }
-    measured_.idle *= 100.0 / (kWorkers * kSlots) / (phase.to - phase.from);
+    measured_.idle_while_waiting *=
+        100.0 / (kHosts * kSlotsPerHost) / (phase.to_ms - phase.from_ms);
     return measured_;
   }
 
  private:
-  static bool Leased(Scheme scheme) {
-    return scheme >= kLeased && scheme <= kBoth;
+  static bool UsesLeases(Scheme scheme) {
+    return scheme >= kLeased && scheme <= kLeasedPlusLearned;
   }
   static SlotOptions ZoneOptions(Scheme scheme) {
     SlotOptions options;
-    if (scheme == kQuick) {
+    if (scheme == kLeasedFast) {
       options.demand_interval = Milliseconds(20);
       options.push_interval = Milliseconds(10);
     }
     return options;
   }
 
-  enum Kind { kRequest, kFinished, kAnswer, kFull, kProbe };
+  enum Kind {
+    kRequestArrives,
+    kRunEnds,
+    kAnswerArrives,
+    kRejected,
+    kProbeAnswer
+  };
   struct Event {
     Kind kind;
-    int process, worker, arrived, run;
+    int process, host_index, arrived_ms, run_ms;
   };
-  struct Waiting {
-    int arrived, run;
+  struct QueuedRequest {
+    int arrived_ms, run_ms;
   };
 
-  void At(int delay, Event event) { events_[now_ + delay].push_back(event); }
+  void Schedule(int delay_ms, Event event) {
+    events_[now_ms_ + delay_ms].push_back(event);
+  }
 
-  bool Dead(int p) const { return p == killed_; }
+  bool IsKilled(int p) const { return p == killed_process_; }
 
-  void Faults() {
-    auto allocator = static_cast<int>(zone_.Allocator());
-    if (now_ == kKilledAt) {
-      killed_ = allocator;
-      zone_.nodes[killed_].dead = true;
-      queue_[killed_].clear();
+  void InjectFaults() {
+    auto allocator = static_cast<int>(zone_.AllocatorIndex());
+    if (now_ms_ == kKillAllocatorAtMs) {
+      killed_process_ = allocator;
+      zone_.nodes[killed_process_].dead = true;
+      queue_[killed_process_].clear();
     }
-    if (now_ == kCutAt)
-      zone_.nodes[Cut()].cut = true;
-    if (now_ == kKilledAt + kDropAfter || now_ == kCutAt + kDropAfter) {
+    if (now_ms_ == kPartitionAtMs)
+      zone_.nodes[PartitionedProcess()].isolated = true;
+    if (now_ms_ == kKillAllocatorAtMs + kMemberTimeoutMs ||
+        now_ms_ == kPartitionAtMs + kMemberTimeoutMs) {
       std::vector<MemberId> live;
       for (int p = 0; p < kProcesses; ++p) {
-        if (!Dead(p) && (p != Cut() || now_ < kCutAt + kDropAfter))
+        if (!IsKilled(p) && (p != PartitionedProcess() ||
+                             now_ms_ < kPartitionAtMs + kMemberTimeoutMs))
           live.push_back(zone_.ids[p]);
       }
       for (int p = 0; p < kProcesses; ++p)
-        zone_.SetMembers(p, p == Cut() && now_ >= kCutAt + kDropAfter
+        zone_.SetMembers(p, p == PartitionedProcess() &&
+                                    now_ms_ >= kPartitionAtMs + kMemberTimeoutMs
                                 ? std::vector{zone_.ids[p]}
                                 : live);
     }
   }
 
-  // The partitioned process: the next one that still runs.
-  int Cut() const { return (killed_ + 1) % kProcesses; }
+  // Returns the process that is partitioned: the next one after the killed one.
+  int PartitionedProcess() const { return (killed_process_ + 1) % kProcesses; }
 
-  void Arrivals() {
-    double load = now_ >= 6000 && now_ < 8000 ? 4.0 : 0.8;
-    double per_ms = load * kWorkers * kSlots / kMeanRun;
-    int favoured = (now_ / 1000) % kProcesses;
-    // Exponential gaps with the mean of this millisecond.
+  void AddArrivals() {
+    double load = now_ms_ >= 6000 && now_ms_ < 8000 ? 4.0 : 0.8;
+    double per_ms = load * kHosts * kSlotsPerHost / kMeanRunMs;
+    int favored = (now_ms_ / 1000) % kProcesses;
+    // Poisson arrivals: exponentially distributed gaps at this millisecond's
+    // rate.
     for (double at = -std::log1p(-random_.Unit()) / per_ms; at < 1;
          at += -std::log1p(-random_.Unit()) / per_ms) {
-      int p = random_.Chance(0.4) ? favoured
+      int p = random_.Chance(0.4) ? favored
                                   : static_cast<int>(random_.Below(kProcesses));
-      if (Dead(p))
+      if (IsKilled(p))
         p = static_cast<int>((p + 1 + random_.Below(kProcesses - 1)) %
                              kProcesses);
-      int run =
-          1 + static_cast<int>(-std::log1p(-random_.Unit()) * (kMeanRun - 0.5));
-      if (queue_[p].size() >= kMaxQueue)
+      int run_ms = 1 + static_cast<int>(-std::log1p(-random_.Unit()) *
+                                        (kMeanRunMs - 0.5));
+      if (queue_[p].size() >= kMaxQueuedRequests)
         ++result_->refused;
       else
-        queue_[p].push_back({now_, std::min(run, 500)});
+        queue_[p].push_back({now_ms_, std::min(run_ms, 500)});
     }
   }
 
   void Handle(const Event& e) {
     switch (e.kind) {
-      case kProbe: {
-        --probing_[e.process];
-        // The answer told the load of two workers one way ago.
-        Send(e.process, e.worker, {e.arrived, e.run});
+      case kProbeAnswer: {
+        --probes_in_flight_[e.process];
+        // The choice of the host is 2 ms old: it uses the loads at the time
+        // when the probes were sent.
+        Send(e.process, e.host_index, {e.arrived_ms, e.run_ms});
         return;
       }
-      case kRequest:
-        if (running_[e.worker] >= kSlots) {
-          ++result_->full;
-          At(1, {kFull, e.process, e.worker, e.arrived, e.run});
+      case kRequestArrives:
+        if (running_[e.host_index] >= kSlotsPerHost) {
+          ++result_->rejected_by_host;
+          Schedule(
+              1, {kRejected, e.process, e.host_index, e.arrived_ms, e.run_ms});
           return;
         }
-        ++running_[e.worker];
-        result_->waits.push_back(now_ - e.arrived);
-        At(e.run, {kFinished, e.process, e.worker, e.arrived, e.run});
+        ++running_[e.host_index];
+        result_->waits_ms.push_back(now_ms_ - e.arrived_ms);
+        Schedule(e.run_ms,
+                 {kRunEnds, e.process, e.host_index, e.arrived_ms, e.run_ms});
         return;
-      case kFinished:
-        --running_[e.worker];
-        ++result_->done;
-        At(1, {kAnswer, e.process, e.worker, e.arrived, e.run});
+      case kRunEnds:
+        --running_[e.host_index];
+        ++result_->completed;
+        Schedule(1, {kAnswerArrives, e.process, e.host_index, e.arrived_ms,
+                     e.run_ms});
         return;
-      case kAnswer: {
-        double& limit = limit_[e.process][e.worker];
-        if (in_flight_[e.process][e.worker] >= static_cast<int>(limit))
-          limit = std::min<double>(kSlots, limit + 1 / limit);
-        --in_flight_[e.process][e.worker];
+      case kAnswerArrives: {
+        double& limit = learned_limit_[e.process][e.host_index];
+        if (in_flight_[e.process][e.host_index] >= static_cast<int>(limit))
+          limit = std::min<double>(kSlotsPerHost, limit + 1 / limit);
+        --in_flight_[e.process][e.host_index];
         return;
       }
-      case kFull: {
-        double& limit = limit_[e.process][e.worker];
-        int& in_flight = in_flight_[e.process][e.worker];
+      case kRejected: {
+        double& limit = learned_limit_[e.process][e.host_index];
+        int& in_flight = in_flight_[e.process][e.host_index];
         limit = std::max(1.0, 0.7 * std::min<double>(limit, in_flight));
         --in_flight;
-        hold_[e.process][e.worker] = now_ + 5;
-        if (!Dead(e.process))
-          queue_[e.process].push_front({e.arrived, e.run});
+        backoff_until_ms_[e.process][e.host_index] = now_ms_ + 5;
+        if (!IsKilled(e.process))
+          queue_[e.process].push_front({e.arrived_ms, e.run_ms});
         return;
       }
     }
   }
 
-  void Send(int p, int worker, Waiting request) {
-    ++in_flight_[p][worker];
-    At(1, {kRequest, p, worker, request.arrived, request.run});
+  void Send(int p, int host_index, QueuedRequest request) {
+    ++in_flight_[p][host_index];
+    Schedule(1, {kRequestArrives, p, host_index, request.arrived_ms,
+                 request.run_ms});
   }
 
-  int Limit(int p, int w) const {
-    const HostSlots& host = zone_.host_slots[w];
+  int Limit(int p, int h) const {
+    const HostSlots& slots_of_host = zone_.host_slots[h];
     if (scheme_ == kFixed)
-      return static_cast<int>(
-          FixedShare(host.host, kSlots, zone_.ids[p], zone_.ids));
-    auto learned = static_cast<int>(limit_[p][w]);
-    auto share =
-        static_cast<int>(zone_.nodes[p].holder.share(kPool, host.host));
-    if (scheme_ == kBoth)
+      return static_cast<int>(FixedShare(slots_of_host.host, kSlotsPerHost,
+                                         zone_.ids[p], zone_.ids));
+    auto learned = static_cast<int>(learned_limit_[p][h]);
+    auto share = static_cast<int>(
+        zone_.nodes[p].holder.share(kPool, slots_of_host.host));
+    if (scheme_ == kLeasedPlusLearned)
       return std::max(share, learned);
-    return Leased(scheme_) ? share : learned;
+    return UsesLeases(scheme_) ? share : learned;
   }
 
   void Dispatch(int p) {
     while (!queue_[p].empty()) {
-      Waiting request = queue_[p].front();
+      QueuedRequest request = queue_[p].front();
       if (scheme_ == kProbing) {
-        if (probing_[p] >= 8)
+        if (probes_in_flight_[p] >= 8)
           return;
-        int a = static_cast<int>(random_.Below(kWorkers));
-        int b = static_cast<int>(random_.Below(kWorkers));
-        ++probing_[p];
-        At(2, {kProbe, p, running_[a] <= running_[b] ? a : b, request.arrived,
-               request.run});
+        int a = static_cast<int>(random_.Below(kHosts));
+        int b = static_cast<int>(random_.Below(kHosts));
+        ++probes_in_flight_[p];
+        Schedule(2, {kProbeAnswer, p, running_[a] <= running_[b] ? a : b,
+                     request.arrived_ms, request.run_ms});
       } else {
         int best = -1;
-        int slack = 0;
-        for (int i = 0, w = static_cast<int>(random_.Below(kWorkers));
-             i < kWorkers; ++i, w = (w + 1) % kWorkers) {
-          int left = now_ < hold_[p][w] ? 0 : Limit(p, w) - in_flight_[p][w];
-          if (left > slack) {
-            slack = left;
-            best = w;
+        int most_free = 0;
+        for (int i = 0, h = static_cast<int>(random_.Below(kHosts)); i < kHosts;
+             ++i, h = (h + 1) % kHosts) {
+          int left = now_ms_ < backoff_until_ms_[p][h]
+                         ? 0
+                         : Limit(p, h) - in_flight_[p][h];
+          if (left > most_free) {
+            most_free = left;
+            best = h;
           }
         }
         if (best < 0)
@@ -251,34 +299,34 @@
     }
   }
 
-  void Share() {
+  void UpdateShares() {
     for (int p = 0; p < kProcesses; ++p) {
       size_t wanted = queue_[p].size();
-      for (int w = 0; w < kWorkers; ++w) {
-        wanted += static_cast<size_t>(in_flight_[p][w]);
-        zone_.nodes[p].holder.SetInUse(kPool, zone_.host_slots[w].host,
-                                       static_cast<uint32_t>(in_flight_[p][w]));
+      for (int h = 0; h < kHosts; ++h) {
+        wanted += static_cast<size_t>(in_flight_[p][h]);
+        zone_.nodes[p].holder.SetInUse(kPool, zone_.host_slots[h].host,
+                                       static_cast<uint32_t>(in_flight_[p][h]));
       }
-      if (!Dead(p))
+      if (!IsKilled(p))
         zone_.SetWanted(p, static_cast<uint32_t>(wanted));
     }
-    zone_.Run(Milliseconds(1));
+    zone_.RunFor(Milliseconds(1));
   }
 
   Scheme scheme_;
   Random random_;
-  Zone zone_;
-  int now_ = 0;
-  int killed_ = -1;
+  ZoneSimulation zone_;
+  int now_ms_ = 0;
+  int killed_process_ = -1;
   std::vector<std::vector<Event>> events_;
-  std::deque<Waiting> queue_[kProcesses];
-  int in_flight_[kProcesses][kWorkers] = {};
-  double limit_[kProcesses][kWorkers];
-  int hold_[kProcesses][kWorkers] = {};
-  int probing_[kProcesses] = {};
-  int running_[kWorkers] = {};
-  Result measured_, ignored_;
-  Result* result_ = &ignored_;
+  std::deque<QueuedRequest> queue_[kProcesses];
+  int in_flight_[kProcesses][kHosts] = {};
+  double learned_limit_[kProcesses][kHosts];
+  int backoff_until_ms_[kProcesses][kHosts] = {};
+  int probes_in_flight_[kProcesses] = {};
+  int running_[kHosts] = {};
+  Result measured_, unmeasured_;
+  Result* result_ = &unmeasured_;
 };
 
 void Print(const char* name, std::vector<double> values, bool json) {
@@ -289,30 +337,35 @@
 }
 
 void Measure(const Phase& phase, Scheme scheme, bool json) {
-  std::vector<double> full, idle, p50, p99, done, refused;
+  std::vector<double> rejected_by_host, idle_while_waiting, p50, p99, completed,
+      refused;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Result result = Bench(scheme, seed).Run(phase);
-    full.push_back(100 * result.full / result.done);
-    idle.push_back(result.idle);
+    rejected_by_host.push_back(100 * result.rejected_by_host /
+                               result.completed);
+    idle_while_waiting.push_back(result.idle_while_waiting);
     p50.push_back(result.Quantile(0.5));
     p99.push_back(result.Quantile(0.99));
-    done.push_back(result.done * 1000 / (phase.to - phase.from));
-    refused.push_back(100 * result.refused / (result.done + result.refused));
+    completed.push_back(result.completed * 1000 /
+                        (phase.to_ms - phase.from_ms));
+    refused.push_back(100 * result.refused /
+                      (result.completed + result.refused));
   }
   std::printf(json ? "{\"phase\":\"%s\",\"scheme\":\"%s\"" : "%-6s %-16s",
               phase.name, kSchemes[scheme]);
-  Print("overcommit_percent", full, json);
-  Print("idle_while_waiting_percent", idle, json);
+  Print("overcommit_percent", rejected_by_host, json);
+  Print("idle_while_waiting_percent", idle_while_waiting, json);
   Print("wait_p50_ms", p50, json);
   Print("wait_p99_ms", p99, json);
-  Print("done_per_s", done, json);
+  Print("done_per_s", completed, json);
   Print("refused_percent", refused, json);
   std::printf(json ? "}\n" : "\n");
 }
 
 void MeasureAll(bool json) {
   for (const Phase& phase : kPhases) {
-    for (Scheme scheme : {kFixed, kLeased, kQuick, kBoth, kProbing, kLearned})
+    for (Scheme scheme :
+         {kFixed, kLeased, kLeasedFast, kLeasedPlusLearned, kProbing, kLearned})
       Measure(phase, scheme, json);
   }
 }
--- a/radishmoor/slots/testing/zone_sim.h
+++ b/radishmoor/slots/testing/zone_sim.h
@@ -1,5 +1,5 @@
-// Virtual-time model of the entry processes of a zone that share slots, used by
-// the tests and the measurement program.
+// Simulation in virtual time of the entry processes of one zone that share the
+// slots of one pool. Used by slot_shares_test and slots_bench.
 
 #ifndef RADISHMOOR_SLOTS_TESTING_ZONE_SIM_H_
 #define RADISHMOOR_SLOTS_TESTING_ZONE_SIM_H_
@@ -18,15 +18,17 @@
 inline const PoolId kPool("a");
 inline const ZoneId kZone("z");
 
-// Members with a holder and an allocator each, and a network that delays,
-// loses, repeats and reorders messages.
-class Zone {
+// Simulates members that have a SlotHolder and a SlotAllocator each, and a
+// network that delays, loses, repeats and reorders their messages. Members are
+// named by their index in `ids` and `nodes`; `m` is such an index. Member lists
+// change only through SetMembers().
+class ZoneSimulation {
  public:
-  Zone(int members,
-       int hosts,
-       uint64_t seed,
-       SlotOptions options = {},
-       uint32_t slots = 8)
+  ZoneSimulation(int members,
+                 int hosts,
+                 uint64_t seed,
+                 SlotOptions options = {},
+                 uint32_t slots = 8)
       : random(seed) {
     for (int h = 0; h < hosts; ++h)
       host_slots.push_back({HostId("w-" + std::to_string(h)), slots});
@@ -44,15 +46,17 @@
   }
 
   void SetMembers(size_t m, const std::vector<MemberId>& live) {
-    Perform(m, nodes[m].holder.SetMembers(Local(m), live));
-    Perform(m, nodes[m].allocator.SetMembers(Local(m), live));
+    Perform(m, nodes[m].holder.SetMembers(LocalTime(m), live));
+    Perform(m, nodes[m].allocator.SetMembers(LocalTime(m), live));
   }
 
   void SetWanted(size_t m, uint32_t wanted) {
-    Perform(m, nodes[m].holder.SetWanted(Local(m), kPool, wanted));
+    Perform(m, nodes[m].holder.SetWanted(LocalTime(m), kPool, wanted));
   }
 
-  void Run(Duration time) {
+  // Advances the simulation by `time` in steps of 1 ms; calls `on_step` after
+  // each.
+  void RunFor(Duration time) {
     Time end = now + time;
     while (now < end) {
       now += Milliseconds(1);
@@ -60,36 +64,40 @@
       for (size_t m = 0; m < nodes.size(); ++m) {
         if (nodes[m].dead)
           continue;
-        // Clocks run up to 2% apart.
-        Perform(m, nodes[m].holder.Tick(Local(m)));
-        Perform(m, nodes[m].allocator.Tick(Local(m)));
+        Perform(m, nodes[m].holder.Tick(LocalTime(m)));
+        Perform(m, nodes[m].allocator.Tick(LocalTime(m)));
       }
-      if (watch)
-        watch();
+      if (on_step)
+        on_step();
     }
   }
 
-  Time Local(size_t m) const {
+  // Returns the time by the member's clock. The clocks of successive members
+  // run fast by 0, 1 and 2 times `drift_percent` in turn.
+  Time LocalTime(size_t m) const {
     Duration since = now - kTimeZero;
     return now + since * static_cast<int64_t>(m % 3) * drift_percent / 100;
   }
 
-  uint32_t Total(size_t m) const {
+  // Returns the slots of the whole pool that the member may use.
+  uint32_t TotalShare(size_t m) const {
     uint32_t sum = 0;
     for (const HostSlots& host : host_slots)
       sum += nodes[m].holder.share(kPool, host.host);
     return sum;
   }
 
-  // Slots of the host in use if every member uses its whole share.
-  uint32_t Shared(const HostId& host) const {
+  // Returns the slots of the host that are in use if every running member uses
+  // its whole share.
+  uint32_t SumOfShares(const HostId& host) const {
     uint32_t sum = 0;
     for (const Node& node : nodes)
       sum += node.dead ? 0 : node.holder.share(kPool, host);
     return sum;
   }
 
-  size_t Allocator() const {
+  // Returns the index of the pool's allocator while all members are live.
+  size_t AllocatorIndex() const {
     MemberId id = AllocatorOf(kPool, kZone, ids);
     return static_cast<size_t>(std::find(ids.begin(), ids.end(), id) -
                                ids.begin());
@@ -99,10 +107,10 @@
     SlotHolder holder;
     SlotAllocator allocator;
     bool dead = false;
-    bool cut = false;  // Exchanges no messages with others.
+    bool isolated = false;  // Exchanges no messages with other members.
   };
   struct Message {
-    Time at;
+    Time deliver_at;
     size_t from;
     MemberId to;
     std::variant<SlotDemand, SlotGrant> body;
@@ -111,28 +119,30 @@
   Random random;
   Time now = kTimeZero + Seconds(10);
   int drift_percent = 0;
-  double loss = 0;
-  double repeats = 0;
-  Duration max_delay = Milliseconds(2);
+  double loss_probability = 0;
+  double repeat_probability = 0;
+  Duration max_delay = Milliseconds(2);  // The minimum delay is 1 ms.
   std::vector<HostSlots> host_slots;
   std::vector<MemberId> ids;
   std::vector<Node> nodes;
   std::vector<Message> messages;
-  std::function<void()> watch;
+  std::function<void()> on_step;
 
  private:
   void Perform(size_t m, const SlotActions& actions) {
     for (const SlotAction& action : actions) {
       if (const auto* demand = std::get_if<SendDemand>(&action))
-        Post(m, demand->to, demand->demand);
+        SendMessage(m, demand->to, demand->demand);
       if (const auto* grant = std::get_if<SendGrant>(&action))
-        Post(m, grant->to, grant->grant);
+        SendMessage(m, grant->to, grant->grant);
     }
   }
 
   template <typename Body>
-  void Post(size_t from, const MemberId& to, const Body& body) {
-    int copies = random.Chance(loss) ? 0 : random.Chance(repeats) ? 2 : 1;
+  void SendMessage(size_t from, const MemberId& to, const Body& body) {
+    int copies = random.Chance(loss_probability)     ? 0
+                 : random.Chance(repeat_probability) ? 2
+                                                     : 1;
     for (; copies > 0; --copies) {
       messages.push_back(
           {now + random.Between(Milliseconds(1), max_delay), from, to, body});
@@ -142,7 +152,7 @@
   void Deliver() {
     std::vector<Message> due;
     std::erase_if(messages, [&](const Message& message) {
-      if (message.at > now)
+      if (message.deliver_at > now)
         return false;
       due.push_back(message);
       return true;
@@ -151,14 +161,14 @@
       auto to = static_cast<size_t>(
           std::find(ids.begin(), ids.end(), message.to) - ids.begin());
       Node& node = nodes[to];
-      if (node.dead ||
-          (to != message.from && (node.cut || nodes[message.from].cut)))
+      if (node.dead || (to != message.from &&
+                        (node.isolated || nodes[message.from].isolated)))
         continue;
       const MemberId& from = ids[message.from];
       if (const auto* demand = std::get_if<SlotDemand>(&message.body))
-        Perform(to, node.allocator.HandleDemand(Local(to), from, *demand));
+        Perform(to, node.allocator.HandleDemand(LocalTime(to), from, *demand));
       if (const auto* grant = std::get_if<SlotGrant>(&message.body))
-        Perform(to, node.holder.HandleGrant(Local(to), from, *grant));
+        Perform(to, node.holder.HandleGrant(LocalTime(to), from, *grant));
     }
   }
 };
