--- a/radishmoor/claims/claims.cc
+++ b/radishmoor/claims/claims.cc
@@ -10,13 +10,14 @@
 namespace radishmoor {
 namespace {
 
-constexpr std::string_view kFormat = "claim1 ";
+constexpr std::string_view kRowFormatPrefix = "claim1 ";
 
 std::string RowKey(const std::string& key) {
   return kClaimPrefix + key;
 }
 
-// The row key that sorts before all keys of this time and after all earlier.
+// Returns a row key that sorts before the rows of all keys with this time and
+// after those of all earlier keys.
 std::string FirstRowKey(WallMillis time) {
   char text[24];
   std::snprintf(text, sizeof(text), "%08llx-%04llx",
@@ -25,7 +26,7 @@
   return std::string(kClaimPrefix) + text;
 }
 
-std::string Lower(std::string text) {
+std::string LowercaseHexDigits(std::string text) {
   for (char& c : text) {
     if (c >= 'A' && c <= 'F')
       c = static_cast<char>(c - 'A' + 'a');
@@ -38,7 +39,8 @@
          (c >= 'A' && c <= 'F');
 }
 
-// Reads one number and the character after it.
+// Removes a number and the character `end` after it from the front of `text`.
+// Returns false if `text` does not start with them.
 template <typename T>
 bool TakeNumber(std::string_view& text, char end, T& value) {
   auto [rest, error] =
@@ -71,7 +73,7 @@
 }
 
 std::string EncodeClaim(const ClaimRecord& r) {
-  std::string text(kFormat);
+  std::string text(kRowFormatPrefix);
   text += std::to_string(static_cast<int>(r.state)) + ' ' +
           std::to_string(r.token) + ' ' + std::to_string(r.body_hash) + ' ' +
           std::to_string(r.deadline) + '\n';
@@ -80,9 +82,9 @@
 }
 
 std::optional<ClaimRecord> DecodeClaim(std::string_view text) {
-  if (!text.starts_with(kFormat))
+  if (!text.starts_with(kRowFormatPrefix))
     return std::nullopt;
-  text.remove_prefix(kFormat.size());
+  text.remove_prefix(kRowFormatPrefix.size());
   int state = 0;
   ClaimRecord r;
   if (!TakeNumber(text, ' ', state) || state < 0 || state > 3 ||
@@ -95,47 +97,47 @@
   return r;
 }
 
-std::string_view ReasonCode(ClaimRefusal reason) {
+std::string_view ReasonCode(ClaimRejectReason reason) {
   switch (reason) {
-    case ClaimRefusal::kKeyRequired:
+    case ClaimRejectReason::kKeyRequired:
       return "key-required";
-    case ClaimRefusal::kBadKey:
+    case ClaimRejectReason::kBadKey:
       return "bad-key";
-    case ClaimRefusal::kKeyExpired:
+    case ClaimRejectReason::kKeyExpired:
       return "key-expired";
-    case ClaimRefusal::kKeyReused:
+    case ClaimRejectReason::kKeyReused:
       return "key-reused";
-    case ClaimRefusal::kDuplicateInProgress:
+    case ClaimRejectReason::kDuplicateInProgress:
       return "duplicate-in-progress";
-    case ClaimRefusal::kDuplicateUnknown:
+    case ClaimRejectReason::kDuplicateUnknown:
       return "duplicate-unknown";
-    case ClaimRefusal::kStoreUnavailable:
+    case ClaimRejectReason::kStoreUnavailable:
       return "store-unavailable";
-    case ClaimRefusal::kDeadline:
+    case ClaimRejectReason::kDeadline:
       return "deadline";
-    case ClaimRefusal::kQueueFull:
+    case ClaimRejectReason::kQueueFull:
       return "queue-full";
   }
   return "";
 }
 
-int HttpStatus(ClaimRefusal reason) {
+int HttpStatus(ClaimRejectReason reason) {
   switch (reason) {
-    case ClaimRefusal::kKeyRequired:
+    case ClaimRejectReason::kKeyRequired:
       return 428;
-    case ClaimRefusal::kBadKey:
+    case ClaimRejectReason::kBadKey:
       return 400;
-    case ClaimRefusal::kKeyExpired:
+    case ClaimRejectReason::kKeyExpired:
       return 410;
-    case ClaimRefusal::kKeyReused:
+    case ClaimRejectReason::kKeyReused:
       return 422;
-    case ClaimRefusal::kDuplicateInProgress:
-    case ClaimRefusal::kDuplicateUnknown:
+    case ClaimRejectReason::kDuplicateInProgress:
+    case ClaimRejectReason::kDuplicateUnknown:
       return 409;
-    case ClaimRefusal::kDeadline:
+    case ClaimRejectReason::kDeadline:
       return 504;
-    case ClaimRefusal::kStoreUnavailable:
-    case ClaimRefusal::kQueueFull:
+    case ClaimRejectReason::kStoreUnavailable:
+    case ClaimRejectReason::kQueueFull:
       return 503;
   }
   return 503;
@@ -146,66 +148,68 @@
 
 std::vector<ClaimAction> Claims::Begin(Time now,
                                        WallMillis wall,
-                                       ClaimBegin begin) {
+                                       ClaimRequest claim_request) {
   Actions out;
-  ++counters_.begun;
-  begin.key = Lower(std::move(begin.key));
-  std::optional<WallMillis> key_time = UuidV7Time(begin.key);
-  auto refuse = [&](ClaimRefusal reason) {
-    Reject(begin.request, reason, out);
+  ++counters_.begins;
+  claim_request.key = LowercaseHexDigits(std::move(claim_request.key));
+  std::optional<WallMillis> key_time = UuidV7Time(claim_request.key);
+  auto reject = [&](ClaimRejectReason reason) {
+    Reject(claim_request.request, reason, out);
     return out;
   };
-  if (begin.key.empty())
-    return refuse(ClaimRefusal::kKeyRequired);
-  if (!key_time || *key_time - wall > kMaxKeySkew)
-    return refuse(ClaimRefusal::kBadKey);
+  if (claim_request.key.empty())
+    return reject(ClaimRejectReason::kKeyRequired);
+  if (!key_time || *key_time - wall > kMaxKeyClockSkew)
+    return reject(ClaimRejectReason::kBadKey);
   if (wall - *key_time > kMaxKeyAge || *key_time < horizon_)
-    return refuse(ClaimRefusal::kKeyExpired);
-  if (auto it = claims_.find(begin.key); it != claims_.end()) {
-    BeginRepeat(begin, it->second, out);
+    return reject(ClaimRejectReason::kKeyExpired);
+  if (auto it = claims_.find(claim_request.key); it != claims_.end()) {
+    BeginRepeat(claim_request, it->second, out);
     return out;
   }
-  if (now >= begin.deadline)
-    return refuse(ClaimRefusal::kDeadline);
-  if (claims_.size() >= options_.max_claims || queue_.size() >= kMaxQueue)
-    return refuse(ClaimRefusal::kQueueFull);
-  // While the store is down one request at a time probes it.
-  bool probing = call_ != CallKind::kNone || !queue_.empty() || read_back_;
-  if (failures_ >= kDownAfter && (now < next_call_ || probing))
-    return refuse(ClaimRefusal::kStoreUnavailable);
+  if (now >= claim_request.deadline)
+    return reject(ClaimRejectReason::kDeadline);
+  if (claims_.size() >= options_.max_claims || queue_.size() >= kMaxQueueSize)
+    return reject(ClaimRejectReason::kQueueFull);
+  // While the store is down, one request at a time is let through to probe it.
+  bool probing =
+      call_kind_ != CallKind::kNone || !queue_.empty() || read_back_needed_;
+  if (consecutive_failures_ >= kFailuresUntilDown &&
+      (now < next_call_at_ || probing))
+    return reject(ClaimRejectReason::kStoreUnavailable);
 
   Claim claim;
-  claim.request = begin.request;
+  claim.request = claim_request.request;
   claim.record.token = random_.Next();
-  claim.record.body_hash = begin.body_hash;
-  claim.valid_until = std::min(begin.deadline, now + kRight);
+  claim.record.body_hash = claim_request.body_hash;
+  claim.valid_until = std::min(claim_request.deadline, now + kMaxSendWindow);
   claim.record.deadline = wall + WholeMilliseconds(claim.valid_until - now);
   claim.key_time = *key_time;
-  claim.give_up = std::min(claim.valid_until, now + kClaimWait);
-  waiting_.insert({claim.give_up, claim.request});
-  by_request_[claim.request] = begin.key;
-  Claim& stored = claims_[begin.key] = std::move(claim);
-  Enqueue(begin.key, stored, false);
-  Pump(now, out);
+  claim.grant_by = std::min(claim.valid_until, now + kClaimTimeout);
+  awaiting_grant_.insert({claim.grant_by, claim.request});
+  by_request_[claim.request] = claim_request.key;
+  Claim& stored = claims_[claim_request.key] = std::move(claim);
+  Enqueue(claim_request.key, stored, false);
+  StartNextCall(now, out);
   return out;
 }
 
-// The key is in use in this process.
-void Claims::BeginRepeat(const ClaimBegin& begin,
+// Responds to a Begin() whose key has a claim in this process.
+void Claims::BeginRepeat(const ClaimRequest& claim_request,
                          const Claim& claim,
                          Actions& out) {
-  if (claim.record.body_hash != begin.body_hash) {
-    Reject(begin.request, ClaimRefusal::kKeyReused, out);
+  if (claim.record.body_hash != claim_request.body_hash) {
+    Reject(claim_request.request, ClaimRejectReason::kKeyReused, out);
   } else if (claim.stage == Stage::kRelease) {
     // The earlier request did not run; its claim is not released yet.
-    Reject(begin.request, ClaimRefusal::kStoreUnavailable, out);
+    Reject(claim_request.request, ClaimRejectReason::kStoreUnavailable, out);
   } else if (claim.stage != Stage::kResult) {
-    Reject(begin.request, ClaimRefusal::kDuplicateInProgress, out);
+    Reject(claim_request.request, ClaimRejectReason::kDuplicateInProgress, out);
   } else if (claim.record.state == ClaimState::kDone) {
     ++counters_.replayed;
-    out.emplace_back(ClaimReplay{begin.request, claim.record.answer});
+    out.emplace_back(ClaimReplay{claim_request.request, claim.record.answer});
   } else {
-    Reject(begin.request, ClaimRefusal::kDuplicateUnknown, out);
+    Reject(claim_request.request, ClaimRejectReason::kDuplicateUnknown, out);
   }
 }
 
@@ -219,19 +223,20 @@
   std::string key = it->second;
   Claim& claim = claims_.at(key);
   bool granted = claim.stage == Stage::kHeld;
-  StopWaiting(claim);
+  ForgetRequest(claim);
   if (std::holds_alternative<ClaimNotRun>(result)) {
-    Settle(key, claim);
+    ReleaseOrErase(key, claim);
     return out;
   }
   RADISHMOOR_INVARIANT("claims.run_only_after_grant", granted);
   claim.record.state = ClaimState::kUnknown;
   if (auto* completed = std::get_if<ClaimCompleted>(&result)) {
     size_t size = completed->answer.size();
-    if (size <= kMaxAnswerBytes && waiting_bytes_ + size <= kMaxWaitingBytes) {
+    if (size <= kMaxAnswerBytes &&
+        pending_answer_bytes_ + size <= kMaxPendingAnswerBytes) {
       claim.record.state = ClaimState::kDone;
       claim.record.answer = std::move(completed->answer);
-      waiting_bytes_ += size;
+      pending_answer_bytes_ += size;
     } else {
       ++counters_.answers_dropped;
     }
@@ -253,61 +258,65 @@
   Actions out;
   if (!started_) {
     started_ = true;
-    next_removal_ = now + random_.Between(kRemovalPeriod / 10, kRemovalPeriod);
+    next_removal_at_ =
+        now + random_.Between(kRemovalPeriod / 10, kRemovalPeriod);
   }
-  if (call_ != CallKind::kNone && now - call_sent_ >= kCallTimeout) {
-    CallKind kind = std::exchange(call_, CallKind::kNone);
-    CallFailed(now, kind, true);
+  if (call_kind_ != CallKind::kNone &&
+      now - call_sent_at_ >= kStoreCallTimeout) {
+    CallKind kind = std::exchange(call_kind_, CallKind::kNone);
+    OnCallFailed(now, kind, true);
   }
-  while (!waiting_.empty() && waiting_.begin()->first <= now) {
-    std::string key = by_request_.at(waiting_.begin()->second);
+  while (!awaiting_grant_.empty() && awaiting_grant_.begin()->first <= now) {
+    std::string key = by_request_.at(awaiting_grant_.begin()->second);
     Claim& claim = claims_.at(key);
     RejectClaim(claim,
-                now >= claim.valid_until ? ClaimRefusal::kDeadline
-                                         : ClaimRefusal::kStoreUnavailable,
+                now >= claim.valid_until ? ClaimRejectReason::kDeadline
+                                         : ClaimRejectReason::kStoreUnavailable,
                 out);
-    Settle(key, claim);
+    ReleaseOrErase(key, claim);
   }
-  Pump(now, out);
+  StartNextCall(now, out);
   return out;
 }
 
 Time Claims::next_wake() const {
   if (!started_)
     return kTimeZero;
-  Time wake = waiting_.empty() ? kTimeMax : waiting_.begin()->first;
-  if (call_ != CallKind::kNone)
-    return std::min(wake, call_sent_ + kCallTimeout);
-  if (read_back_ || !horizon_known_)
-    return std::min(wake, next_call_);
+  Time wake =
+      awaiting_grant_.empty() ? kTimeMax : awaiting_grant_.begin()->first;
+  if (call_kind_ != CallKind::kNone)
+    return std::min(wake, call_sent_at_ + kStoreCallTimeout);
+  if (read_back_needed_ || !horizon_known_)
+    return std::min(wake, next_call_at_);
   if (!queue_.empty())
-    wake = std::min(wake, std::max(next_write_, next_call_));
-  return std::min(wake, std::max({next_removal_, next_write_, next_call_}));
+    wake = std::min(wake, std::max(next_transaction_at_, next_call_at_));
+  return std::min(
+      wake, std::max({next_removal_at_, next_transaction_at_, next_call_at_}));
 }
 
-void Claims::Reject(RequestId request, ClaimRefusal reason, Actions& out) {
+void Claims::Reject(RequestId request, ClaimRejectReason reason, Actions& out) {
   ++counters_.rejected;
-  bool may_have_run = reason == ClaimRefusal::kDuplicateInProgress ||
-                      reason == ClaimRefusal::kDuplicateUnknown;
+  bool may_have_run = reason == ClaimRejectReason::kDuplicateInProgress ||
+                      reason == ClaimRejectReason::kDuplicateUnknown;
   out.emplace_back(ClaimRejected{request, reason, may_have_run});
 }
 
-void Claims::RejectClaim(Claim& claim, ClaimRefusal reason, Actions& out) {
+void Claims::RejectClaim(Claim& claim, ClaimRejectReason reason, Actions& out) {
   Reject(claim.request, reason, out);
-  StopWaiting(claim);
+  ForgetRequest(claim);
 }
 
-void Claims::StopWaiting(Claim& claim) {
-  waiting_.erase({claim.give_up, claim.request});
+void Claims::ForgetRequest(Claim& claim) {
+  awaiting_grant_.erase({claim.grant_by, claim.request});
   by_request_.erase(claim.request);
 }
 
-void Claims::Settle(const std::string& key, Claim& claim) {
+void Claims::ReleaseOrErase(const std::string& key, Claim& claim) {
   claim.stage = Stage::kRelease;
   claim.record.state = ClaimState::kReleased;
-  if (claim.in_call)
+  if (claim.in_batch)
     return;
-  if (claim.owned || claim.outstanding)
+  if (claim.owned || claim.unresolved_version)
     Enqueue(key, claim, false);
   else
     Erase(key);
@@ -318,7 +327,7 @@
     return;
   claim.queued = true;
   if (queue_.size() >= 2 * options_.max_claims) {
-    // Withdrawn claims leave their keys behind.
+    // Erasing a claim leaves its key in the queue.
     std::erase_if(queue_, [this](const std::string& queued) {
       return !claims_.contains(queued);
     });
@@ -331,7 +340,7 @@
 
 void Claims::Erase(const std::string& key) {
   auto it = claims_.find(key);
-  waiting_bytes_ -= it->second.record.answer.size();
+  pending_answer_bytes_ -= it->second.record.answer.size();
   claims_.erase(it);
 }
 
@@ -339,53 +348,56 @@
                    const std::string& key,
                    Claim& claim,
                    Actions& out) {
-  // A paused process gets here long after the deadline.
+  // A process that was paused can get here long after the deadline.
   if (now >= claim.valid_until) {
-    RejectClaim(claim, ClaimRefusal::kDeadline, out);
-    Settle(key, claim);
+    RejectClaim(claim, ClaimRejectReason::kDeadline, out);
+    ReleaseOrErase(key, claim);
     return;
   }
-  waiting_.erase({claim.give_up, claim.request});
+  awaiting_grant_.erase({claim.grant_by, claim.request});
   claim.stage = Stage::kHeld;
   ++counters_.granted;
   out.emplace_back(ClaimGranted{claim.request, claim.valid_until});
 }
 
-void Claims::Call(Time now, CallKind kind, StoreRequest request, Actions& out) {
-  call_ = kind;
-  call_sent_ = now;
-  tag_ = next_tag_++;
+void Claims::StartCall(Time now,
+                       CallKind kind,
+                       StoreRequest request,
+                       Actions& out) {
+  call_kind_ = kind;
+  call_sent_at_ = now;
+  call_tag_ = next_tag_++;
   if (std::holds_alternative<CommitRows>(request)) {
     ++counters_.transactions;
-    next_write_ = now + kWriteGap;
+    next_transaction_at_ = now + kTransactionInterval;
   }
-  out.emplace_back(StoreCall{tag_, std::move(request)});
+  out.emplace_back(StoreCall{call_tag_, std::move(request)});
 }
 
-void Claims::Pump(Time now, Actions& out) {
-  if (call_ != CallKind::kNone || now < next_call_)
+void Claims::StartNextCall(Time now, Actions& out) {
+  if (call_kind_ != CallKind::kNone || now < next_call_at_)
     return;
-  if (read_back_ || !horizon_known_) {
+  if (read_back_needed_ || !horizon_known_) {
     SendReadBack(now, out);
     return;
   }
-  if (now < next_write_)
+  if (now < next_transaction_at_)
     return;
-  // Groups and the steps of a removal alternate while both have work.
-  bool remove =
-      started_ && now >= next_removal_ && (queue_.empty() || !removal_last_);
-  removal_last_ = remove;
+  // Batches and removal steps alternate while both have work.
+  bool remove = started_ && now >= next_removal_at_ &&
+                (queue_.empty() || !last_call_was_removal_);
+  last_call_was_removal_ = remove;
   if (remove)
     SendRemovalStep(now, out);
   else
-    SendGroup(now, out);
+    SendBatch(now, out);
 }
 
-void Claims::SendGroup(Time now, Actions& out) {
+void Claims::SendBatch(Time now, Actions& out) {
   Transaction t{.operation = {random_.Next()}};
   t.expects.push_back({kClaimHorizonKey, horizon_version_});
-  group_.clear();
-  while (!queue_.empty() && group_.size() < kGroupSize) {
+  batch_.clear();
+  while (!queue_.empty() && batch_.size() < kMaxBatchSize) {
     std::string key = std::move(queue_.front());
     queue_.pop_front();
     auto it = claims_.find(key);
@@ -394,102 +406,103 @@
     Claim& claim = it->second;
     claim.queued = false;
     if (claim.key_time < horizon_) {
-      // Its row is or will be removed, and no insert can take effect.
+      // The row was removed or will be, and the expected version of the horizon
+      // keeps any insert from taking effect.
       if (claim.stage == Stage::kInsert)
-        RejectClaim(claim, ClaimRefusal::kKeyExpired, out);
+        RejectClaim(claim, ClaimRejectReason::kKeyExpired, out);
       Erase(key);
       continue;
     }
-    claim.in_call = true;
+    claim.in_batch = true;
     t.expects.push_back({RowKey(key), claim.expected});
     t.writes.push_back({RowKey(key), EncodeClaim(claim.record)});
-    group_.push_back({std::move(key), claim.stage});
+    batch_.push_back({std::move(key), claim.stage});
   }
-  if (!group_.empty())
-    Call(now, CallKind::kGroup, CommitRows{std::move(t)}, out);
+  if (!batch_.empty())
+    StartCall(now, CallKind::kCommitBatch, CommitRows{std::move(t)}, out);
 }
 
 void Claims::SendReadBack(Time now, Actions& out) {
   ++counters_.read_backs;
   ReadRows read;
-  for (const Operation& operation : group_)
-    read.keys.push_back(RowKey(operation.key));
+  for (const BatchEntry& entry : batch_)
+    read.keys.push_back(RowKey(entry.key));
   read.keys.emplace_back(kClaimHorizonKey);
-  Call(now, CallKind::kReadBack, std::move(read), out);
+  StartCall(now, CallKind::kReadBack, std::move(read), out);
 }
 
 std::vector<ClaimAction> Claims::Handle(Time now,
                                         WallMillis wall,
                                         const StoreAnswer& answer) {
   Actions out;
-  if (call_ == CallKind::kNone || answer.tag != tag_)
+  if (call_kind_ == CallKind::kNone || answer.tag != call_tag_)
     return out;
-  CallKind kind = std::exchange(call_, CallKind::kNone);
+  CallKind kind = std::exchange(call_kind_, CallKind::kNone);
   const auto* rows = std::get_if<RowsReply>(&answer.reply);
   const auto* committed = std::get_if<CommittedReply>(&answer.reply);
   const auto* conflict = std::get_if<ConflictReply>(&answer.reply);
-  bool is_read = kind == CallKind::kReadBack || kind == CallKind::kOldest ||
-                 kind == CallKind::kWitness;
+  bool is_read = kind == CallKind::kReadBack || kind == CallKind::kScanOldest ||
+                 kind == CallKind::kScanNewer;
   if (is_read ? !rows : !committed && !conflict) {
-    CallFailed(now, kind,
-               !std::holds_alternative<UnavailableReply>(answer.reply));
-    Pump(now, out);
+    OnCallFailed(now, kind,
+                 !std::holds_alternative<UnavailableReply>(answer.reply));
+    StartNextCall(now, out);
     return out;
   }
-  failures_ = 0;
-  if (kind == CallKind::kGroup && committed) {
+  consecutive_failures_ = 0;
+  if (kind == CallKind::kCommitBatch && committed) {
     OnCommitted(now, committed->versions, out);
-  } else if (kind == CallKind::kGroup && conflict) {
+  } else if (kind == CallKind::kCommitBatch && conflict) {
     ++counters_.conflicts;
     OnRows(now, wall, conflict->rows, out);
   } else if (kind == CallKind::kReadBack && rows) {
-    read_back_ = false;
+    read_back_needed_ = false;
     horizon_known_ = true;
     OnRows(now, wall, rows->rows, out);
-  } else if (kind == CallKind::kOldest && rows) {
-    OnOldest(now, wall, rows->rows);
-  } else if (kind == CallKind::kWitness && rows) {
+  } else if (kind == CallKind::kScanOldest && rows) {
+    OnOldestClaims(now, wall, rows->rows);
+  } else if (kind == CallKind::kScanNewer && rows) {
     if (rows->rows.empty())
-      EndRemoval(now, false);
+      EndRemovalPass(now, false);
     else
-      removal_ = CallKind::kHorizon;
-  } else if (kind == CallKind::kHorizon && committed) {
-    horizon_ = next_horizon_;
+      next_removal_step_ = CallKind::kWriteHorizon;
+  } else if (kind == CallKind::kWriteHorizon && committed) {
+    horizon_ = target_horizon_;
     horizon_version_ = committed->versions.at(0);
-    removal_ = CallKind::kRemove;
-  } else if (kind == CallKind::kRemove && committed) {
+    next_removal_step_ = CallKind::kDeleteRows;
+  } else if (kind == CallKind::kDeleteRows && committed) {
     counters_.removed += removable_.size();
-    EndRemoval(now, removable_.size() == kGroupSize);
+    EndRemovalPass(now, removable_.size() == kMaxBatchSize);
   } else {
-    // Another process moved the horizon.
+    // Another process moved the horizon, so the transaction conflicted.
     if (conflict)
       OnRows(now, wall, conflict->rows, out);
-    EndRemoval(now, true);
+    EndRemovalPass(now, true);
   }
-  Pump(now, out);
+  StartNextCall(now, out);
   return out;
 }
 
-void Claims::CallFailed(Time now, CallKind kind, bool may_have_effect) {
-  ++counters_.store_failures;
-  failures_ = std::min<uint32_t>(failures_ + 1, 16);
-  Duration limit =
-      std::min(kMaxBackoff, kMinBackoff * (1 << std::min(failures_, 8u)));
-  next_call_ = now + random_.Between(limit / 2, limit);
-  if (kind == CallKind::kGroup && may_have_effect) {
-    read_back_ = true;
-    for (const Operation& operation : group_) {
-      Claim& claim = claims_.at(operation.key);
-      claim.outstanding = claim.expected;
+void Claims::OnCallFailed(Time now, CallKind kind, bool may_have_effect) {
+  ++counters_.store_call_failures;
+  consecutive_failures_ = std::min<uint32_t>(consecutive_failures_ + 1, 16);
+  Duration limit = std::min(
+      kMaxBackoff, kMinBackoff * (1 << std::min(consecutive_failures_, 8u)));
+  next_call_at_ = now + random_.Between(limit / 2, limit);
+  if (kind == CallKind::kCommitBatch && may_have_effect) {
+    read_back_needed_ = true;
+    for (const BatchEntry& entry : batch_) {
+      Claim& claim = claims_.at(entry.key);
+      claim.unresolved_version = claim.expected;
     }
-  } else if (kind == CallKind::kGroup) {
-    for (auto it = group_.rbegin(); it != group_.rend(); ++it)
+  } else if (kind == CallKind::kCommitBatch) {
+    for (auto it = batch_.rbegin(); it != batch_.rend(); ++it)
       Requeue(*it);
-    group_.clear();
+    batch_.clear();
   } else if (kind != CallKind::kReadBack) {
-    if (kind == CallKind::kHorizon && may_have_effect)
+    if (kind == CallKind::kWriteHorizon && may_have_effect)
       horizon_known_ = false;
-    EndRemoval(now, false);
+    EndRemovalPass(now, false);
   }
 }
 
@@ -497,24 +510,26 @@
                          const std::vector<RowVersion>& versions,
                          Actions& out) {
   counters_.writes += versions.size();
-  std::vector<Operation> group = std::exchange(group_, {});
-  for (size_t i = 0; i < group.size(); ++i) {
-    Claim& claim = claims_.at(group[i].key);
-    claim.in_call = false;
+  std::vector<BatchEntry> batch = std::exchange(batch_, {});
+  for (size_t i = 0; i < batch.size(); ++i) {
+    Claim& claim = claims_.at(batch[i].key);
+    claim.in_batch = false;
     claim.owned = true;
-    claim.outstanding.reset();
+    claim.unresolved_version.reset();
     claim.expected = versions.at(i);
-    if (group[i].stage != Stage::kInsert)
-      Erase(group[i].key);
+    if (batch[i].stage != Stage::kInsert)
+      Erase(batch[i].key);
     else if (claim.stage == Stage::kInsert)
-      Grant(now, group[i].key, claim, out);
+      Grant(now, batch[i].key, claim, out);
     else
-      Settle(group[i].key, claim);  // Given up while the insert was in flight.
+      // The request was rejected or withdrawn while the insert was in flight.
+      ReleaseOrErase(batch[i].key, claim);
   }
 }
 
-// Current rows of the group: all after a read-back, otherwise those that caused
-// the conflict, and the rest of the group had no effect.
+// Handles the present rows of the batch. After a read-back `rows` has all of
+// them, after a conflict only those that caused it; the other writes of the
+// batch had no effect.
 void Claims::OnRows(Time now,
                     WallMillis wall,
                     const std::vector<Row>& rows,
@@ -525,8 +540,8 @@
     if (row.key == kClaimHorizonKey)
       OnHorizon(row);
   }
-  std::vector<Operation> group = std::exchange(group_, {});
-  for (auto it = group.rbegin(); it != group.rend(); ++it) {
+  std::vector<BatchEntry> batch = std::exchange(batch_, {});
+  for (auto it = batch.rbegin(); it != batch.rend(); ++it) {
     auto row = by_key.find(RowKey(it->key));
     if (row == by_key.end())
       Requeue(*it);
@@ -535,14 +550,14 @@
   }
 }
 
-// The write of this operation did not take effect.
-void Claims::Requeue(const Operation& operation) {
-  Claim& claim = claims_.at(operation.key);
-  claim.in_call = false;
+// Queues the claim of `entry` again, whose write did not take effect.
+void Claims::Requeue(const BatchEntry& entry) {
+  Claim& claim = claims_.at(entry.key);
+  claim.in_batch = false;
   if (claim.stage == Stage::kRelease)
-    Settle(operation.key, claim);
+    ReleaseOrErase(entry.key, claim);
   else
-    Enqueue(operation.key, claim, true);
+    Enqueue(entry.key, claim, true);
 }
 
 void Claims::Resolve(Time now,
@@ -554,11 +569,11 @@
   std::optional<ClaimRecord> current;
   if (row.version != 0)
     current = DecodeClaim(row.value);
-  claim.in_call = false;
+  claim.in_batch = false;
   claim.expected = row.version;
   claim.owned = current && current->token == claim.record.token;
-  if (claim.outstanding && *claim.outstanding != row.version)
-    claim.outstanding.reset();
+  if (claim.unresolved_version && *claim.unresolved_version != row.version)
+    claim.unresolved_version.reset();
   switch (claim.stage) {
     case Stage::kInsert:
       ResolveInsert(now, wall, key, claim, row, current, out);
@@ -567,7 +582,7 @@
       ResolveRelease(key, claim, current);
       return;
     case Stage::kResult:
-      // Only the removal of old claims takes the row from its holder.
+      // A row that the claim held changes only when a removal pass deletes it.
       RADISHMOOR_INVARIANT("claims.held_row_is_own",
                            claim.owned || row.version == 0);
       if (!claim.owned || *current == claim.record)
@@ -589,7 +604,7 @@
                            const std::optional<ClaimRecord>& current,
                            Actions& out) {
   if (claim.owned) {
-    claim.outstanding.reset();
+    claim.unresolved_version.reset();
     Grant(now, key, claim, out);
     return;
   }
@@ -603,23 +618,25 @@
   if (same_body && current->state == ClaimState::kDone) {
     ++counters_.replayed;
     out.emplace_back(ClaimReplay{claim.request, current->answer});
-    StopWaiting(claim);
+    ForgetRequest(claim);
   } else {
-    ClaimRefusal reason = ClaimRefusal::kDuplicateUnknown;
+    ClaimRejectReason reason = ClaimRejectReason::kDuplicateUnknown;
     if (current && !same_body)
-      reason = ClaimRefusal::kKeyReused;
+      reason = ClaimRejectReason::kKeyReused;
     else if (current && current->state == ClaimState::kClaimed &&
              wall < current->deadline)
-      reason = ClaimRefusal::kDuplicateInProgress;
+      reason = ClaimRejectReason::kDuplicateInProgress;
     RejectClaim(claim, reason, out);
   }
-  // A lost insert can only take effect on the version that it expected.
-  Settle(key, claim);
+  // An insert with unknown outcome can take effect only on the version that it
+  // expected. If the row still has that version, ReleaseOrErase() writes a
+  // release, after which the insert cannot take effect.
+  ReleaseOrErase(key, claim);
 }
 
-// Nobody waits for the claim. Writing the released state also moves the row
-// away from the version that a lost insert expected, so that the insert cannot
-// take effect later.
+// Handles the row of a claim for which no request waits. Writing the released
+// state also changes the version of the row, so that an insert with unknown
+// outcome cannot take effect later.
 void Claims::ResolveRelease(const std::string& key,
                             Claim& claim,
                             const std::optional<ClaimRecord>& current) {
@@ -627,7 +644,7 @@
     Erase(key);
     return;
   }
-  Settle(key, claim);
+  ReleaseOrErase(key, claim);
 }
 
 void Claims::OnHorizon(const Row& row) {
@@ -639,67 +656,75 @@
 }
 
 void Claims::SendRemovalStep(Time now, Actions& out) {
-  // Another process may have moved the horizon further meanwhile.
-  if (removal_ == CallKind::kHorizon && next_horizon_ <= horizon_)
-    removal_ = CallKind::kRemove;
-  switch (removal_) {
-    case CallKind::kWitness:
-      Call(now, removal_,
-           ScanRows{kClaimPrefix, FirstRowKey(next_horizon_ + kMaxKeyAge), 1},
-           out);
+  // Another process may have moved the horizon this far in the meantime.
+  if (next_removal_step_ == CallKind::kWriteHorizon &&
+      target_horizon_ <= horizon_)
+    next_removal_step_ = CallKind::kDeleteRows;
+  switch (next_removal_step_) {
+    case CallKind::kScanNewer:
+      StartCall(
+          now, next_removal_step_,
+          ScanRows{kClaimPrefix, FirstRowKey(target_horizon_ + kMaxKeyAge), 1},
+          out);
       return;
-    case CallKind::kHorizon: {
+    case CallKind::kWriteHorizon: {
       Transaction t{.operation = {random_.Next()}};
       t.expects.push_back({kClaimHorizonKey, horizon_version_});
-      t.writes.push_back({kClaimHorizonKey, std::to_string(next_horizon_)});
-      Call(now, removal_, CommitRows{std::move(t)}, out);
+      t.writes.push_back({kClaimHorizonKey, std::to_string(target_horizon_)});
+      StartCall(now, next_removal_step_, CommitRows{std::move(t)}, out);
       return;
     }
-    case CallKind::kRemove: {
+    case CallKind::kDeleteRows: {
       Transaction t{.operation = {random_.Next()}};
       t.expects.push_back({kClaimHorizonKey, horizon_version_});
       for (const std::string& key : removable_)
         t.writes.push_back({key, "", true});
-      Call(now, removal_, CommitRows{std::move(t)}, out);
+      StartCall(now, next_removal_step_, CommitRows{std::move(t)}, out);
       return;
     }
     default:
-      Call(now, CallKind::kOldest, ScanRows{kClaimPrefix, "", kGroupSize}, out);
+      StartCall(now, CallKind::kScanOldest,
+                ScanRows{kClaimPrefix, "", kMaxBatchSize}, out);
       return;
   }
 }
 
-// Keys sort by time. The horizon moves in small steps, and only when a stored
-// key shows that the time has come: one process with a wrong wall clock cannot
-// move it past the others' requests.
-void Claims::OnOldest(Time now, WallMillis wall, const std::vector<Row>& rows) {
+// Picks the claims to remove and the new horizon; `rows` is sorted by key and
+// so by time. The horizon moves in small steps, and only if the store holds a
+// key that is kMaxKeyAge newer than the new horizon. So one process with a
+// wrong wall clock cannot move the horizon past keys that other processes still
+// accept.
+void Claims::OnOldestClaims(Time now,
+                            WallMillis wall,
+                            const std::vector<Row>& rows) {
   removable_.clear();
-  std::optional<WallMillis> limit;
+  std::optional<WallMillis> new_horizon;
   for (const Row& row : rows) {
     std::string_view key = row.key;
     std::optional<WallMillis> time =
         UuidV7Time(key.substr(sizeof(kClaimPrefix) - 1));
     if (!time)
       continue;
-    if (!limit)
-      limit =
-          std::max(horizon_, std::min(wall - kRetention, *time + kHorizonStep));
-    if (*time < *limit)
+    if (!new_horizon)
+      new_horizon = std::max(
+          horizon_, std::min(wall - kClaimRetention, *time + kHorizonStep));
+    if (*time < *new_horizon)
       removable_.push_back(row.key);
   }
   if (removable_.empty()) {
-    EndRemoval(now, false);
+    EndRemovalPass(now, false);
     return;
   }
-  next_horizon_ = *limit;
-  removal_ = next_horizon_ > horizon_ ? CallKind::kWitness : CallKind::kRemove;
+  target_horizon_ = *new_horizon;
+  next_removal_step_ =
+      target_horizon_ > horizon_ ? CallKind::kScanNewer : CallKind::kDeleteRows;
 }
 
-void Claims::EndRemoval(Time now, bool more) {
-  removal_ = CallKind::kOldest;
-  next_removal_ =
-      now + (more ? kRemovalPause
-                  : random_.Between(kRemovalPeriod / 2, kRemovalPeriod));
+void Claims::EndRemovalPass(Time now, bool more_left) {
+  next_removal_step_ = CallKind::kScanOldest;
+  next_removal_at_ =
+      now + (more_left ? kRemovalPause
+                       : random_.Between(kRemovalPeriod / 2, kRemovalPeriod));
 }
 
 }  // namespace radishmoor
--- a/radishmoor/slots/slot_shares.h
+++ b/radishmoor/slots/slot_shares.h
@@ -266,7 +266,8 @@
                            const MemberId& from,
                            const SlotDemand& demand);
 
-  // Expires grants and issues those that are due. Call it at next_wake() or later.
+  // Expires grants and issues those that are due. Call it at next_wake() or
+  // later.
   SlotActions Tick(Time now);
   Time next_wake() const;
 
