--- a/radishmoor/base/testing/timeline_test.cc
+++ b/radishmoor/base/testing/timeline_test.cc
@@ -12,7 +12,7 @@
   TimelineRing ring(4);
   for (int i = 0; i < 6; ++i)
     ring.Add({.detail = std::to_string(i)});
-  auto events = ring.Since(0);
+  auto events = ring.EventsAfter(0);
   REQUIRE(events.size() == 4);
   REQUIRE(events.front().detail == "2");
   REQUIRE(events.back().sequence == 6);
@@ -20,7 +20,7 @@
   ring.MarkFlushed(6);
   ring.Add({});
   REQUIRE(ring.dropped() == 2);
-  REQUIRE(ring.Since(6).size() == 1);
+  REQUIRE(ring.EventsAfter(6).size() == 1);
 }
 
 // Guards against an effect that sorts before its cause when the receiver's
--- a/radishmoor/base/timeline.cc
+++ b/radishmoor/base/timeline.cc
@@ -77,7 +77,7 @@
   ++next_;
 }
 
-std::vector<TimelineEvent> TimelineRing::Since(uint64_t sequence) const {
+std::vector<TimelineEvent> TimelineRing::EventsAfter(uint64_t sequence) const {
   uint64_t oldest = next_ > capacity_ ? next_ - capacity_ : 1;
   std::vector<TimelineEvent> result;
   for (uint64_t s = std::max(oldest, sequence + 1); s < next_; ++s)
--- a/radishmoor/base/timeline.h
+++ b/radishmoor/base/timeline.h
@@ -3,7 +3,7 @@
 //   TimelineRing ring(4096);
 //   ring.Add({.stamp = clock.Tick(wall), .kind = EventKind::kHostDraining,
 //             .host = host});
-//   for (const TimelineEvent& event : ring.Since(sequence)) ...
+//   for (const TimelineEvent& event : ring.EventsAfter(sequence)) ...
 //
 // The ring holds a fixed number of events and overwrites the oldest; `dropped`
 // counts those that were overwritten before they were flushed.
@@ -72,7 +72,7 @@
   void Add(TimelineEvent event);
 
   // Events with a sequence above `sequence`, oldest first.
-  std::vector<TimelineEvent> Since(uint64_t sequence) const;
+  std::vector<TimelineEvent> EventsAfter(uint64_t sequence) const;
 
   uint64_t last_sequence() const { return next_ - 1; }
 
--- a/radishmoor/control/control_core.cc
+++ b/radishmoor/control/control_core.cc
@@ -166,8 +166,8 @@
 std::vector<const HostState*> ControlCore::ObservedHosts(Time now) const {
   std::vector<const HostState*> hosts;
   for (const auto& [id, host] : view_.state().hosts) {
-    bool observed =
-        leases_.Holds(now, host.pool) || leases_.Holds(now, host.wanted_pool);
+    bool observed = leases_.HoldsPoolLease(now, host.pool) ||
+                    leases_.HoldsPoolLease(now, host.wanted_pool);
     if (observed && host.phase != HostPhase::kRetired)
       hosts.push_back(&host);
   }
@@ -266,7 +266,7 @@
 
 void ControlCore::GiveLeases() {
   std::vector<PoolLease> held;
-  for (const PoolId& pool : leases_.Held(now_)) {
+  for (const PoolId& pool : leases_.HeldPools(now_)) {
     auto fences = leases_.Expectations(now_, pool);
     if (fences)
       held.push_back({pool, member_.lease_until(), std::move(*fences)});
--- a/radishmoor/entry/entry_core.cc
+++ b/radishmoor/entry/entry_core.cc
@@ -487,7 +487,7 @@
   if (told_leaving_.empty())
     return;
   LeavingNotice notice{{told_leaving_.begin(), told_leaving_.end()}};
-  for (const PeerInfo* peer : peers_.Live()) {
+  for (const PeerInfo* peer : peers_.LivePeers()) {
     if (peer->record.role == MemberRole::kEntry)
       SendTo(peer->record.id, notice);
   }
@@ -752,7 +752,7 @@
 void EntryCore::UpdateMembers() {
   std::vector<ConfigPeer> config_peers;
   std::vector<MemberId> zone_members{options_.member};
-  for (const PeerInfo* peer : peers_.Live()) {
+  for (const PeerInfo* peer : peers_.LivePeers()) {
     const MemberRecord& record = peer->record;
     if (record.role != MemberRole::kEntry || record.id == options_.member)
       continue;
@@ -783,7 +783,7 @@
   record.id = from;
   record.zone = hello.zone;
   record.addresses = {hello.address};
-  peers_.AddKnown(record);
+  peers_.AddConfiguredPeer(record);
 }
 
 void EntryCore::OnPeer(const MemberId&, const Heartbeat& heartbeat) {
--- a/radishmoor/fleet/budget.cc
+++ b/radishmoor/fleet/budget.cc
@@ -30,7 +30,7 @@
                 [&](const auto& item) { return !state.FindHost(item.first); });
 }
 
-HostHealth HealthView::Of(Time now, const HostState& host) const {
+HostHealth HealthView::HealthOf(Time now, const HostState& host) const {
   if (Partitioned(host.zone))
     return HostHealth::kUnreachable;
   auto it = observations_.find(host.id);
--- a/radishmoor/fleet/budget.h
+++ b/radishmoor/fleet/budget.h
@@ -38,9 +38,9 @@
   // Drops observations of hosts that left the fleet.
   void Forget(const FleetState& state);
 
-  HostHealth Of(Time now, const HostState& host) const;
+  HostHealth HealthOf(Time now, const HostState& host) const;
   bool Healthy(Time now, const HostState& host) const {
-    return Of(now, host) == HostHealth::kHealthy;
+    return HealthOf(now, host) == HostHealth::kHealthy;
   }
   // Healthy by an observation made after `since`.
   bool HealthySince(Time now, const HostState& host, Time since) const;
--- a/radishmoor/fleet/change_writer.cc
+++ b/radishmoor/fleet/change_writer.cc
@@ -10,8 +10,8 @@
 ChangeWriter::ChangeWriter(ChangeWriterOptions options, uint64_t seed)
     : options_(options), random_(seed) {}
 
-void ChangeWriter::SetSharers(uint32_t sharers) {
-  sharers_ = std::max(sharers, 1U);
+void ChangeWriter::SetWriterCount(uint32_t writer_count) {
+  writer_count_ = std::max(writer_count, 1U);
 }
 
 bool ChangeWriter::Ready(Time now) const {
@@ -53,8 +53,8 @@
   for (std::string& key : removed_rows)
     transaction.writes.push_back({std::move(key), "", true});
   stage_ = Stage::kCommitting;
-  auto gap =
-      static_cast<int64_t>(1e6 * sharers_ / options_.site_writes_per_second);
+  auto gap = static_cast<int64_t>(1e6 * writer_count_ /
+                                  options_.site_writes_per_second);
   not_before_ = now + Microseconds(gap);
   Send(now, CommitRows{std::move(transaction)});
 }
--- a/radishmoor/fleet/change_writer.h
+++ b/radishmoor/fleet/change_writer.h
@@ -57,7 +57,7 @@
   ChangeWriter(ChangeWriterOptions options, uint64_t seed);
 
   // Number of control processes that share the site's limit.
-  void SetSharers(uint32_t sharers);
+  void SetWriterCount(uint32_t writer_count);
 
   // No change is in flight, and neither rate limit nor back-off forbids one.
   bool Ready(Time now) const;
@@ -97,7 +97,7 @@
 
   ChangeWriterOptions options_;
   Random random_;
-  uint32_t sharers_ = 1;
+  uint32_t writer_count_ = 1;
   Stage stage_ = Stage::kIdle;
   ConfigDelta delta_;
   HeadRow head_;
--- a/radishmoor/fleet/controller.cc
+++ b/radishmoor/fleet/controller.cc
@@ -64,7 +64,7 @@
     if (member.role == MemberRole::kControl)
       ++controls;
   }
-  writer_.SetSharers(controls);
+  writer_.SetWriterCount(controls);
   gate_.ObserveMembers(std::move(members));
   return Defer(now);
 }
@@ -482,8 +482,8 @@
                : GateVerdict{false, GateBlock::kNotDraining, {}};
 }
 
-FleetFigures Controller::figures() const {
-  FleetFigures figures = figures_;
+FleetCounters Controller::figures() const {
+  FleetCounters figures = figures_;
   figures.unavailable = writer_.unavailable();
   figures.unknown = writer_.unknown();
   figures.resolved_committed = writer_.resolved_committed();
--- a/radishmoor/fleet/controller.h
+++ b/radishmoor/fleet/controller.h
@@ -41,7 +41,7 @@
   WaveOptions wave;
   RetirementOptions retirement;
   ChangeWriterOptions writer;
-  LendingPolicy lending = StaticSpare{};
+  LendingPolicy lending = StaticLending{};
   // After giving a reservation back, nothing new starts in the pool this long,
   // so that health that comes and goes does not drain hosts in turn.
   Duration give_back_hold = Seconds(30);
@@ -90,7 +90,7 @@
     return wave_.FirstCompleted(state_, limit);
   }
   const FleetState& state() const { return state_; }
-  FleetFigures figures() const;
+  FleetCounters figures() const;
 
  private:
   struct Change {
@@ -167,7 +167,7 @@
   std::map<HostId, PlatformState> platform_;
   std::set<HostId> soon_due_;
   std::vector<FleetAction> actions_;
-  FleetFigures figures_;
+  FleetCounters figures_;
   Time next_wake_{};
 };
 
--- a/radishmoor/fleet/lending.cc
+++ b/radishmoor/fleet/lending.cc
@@ -17,13 +17,13 @@
 };
 
 Thresholds ThresholdsOf(const LendingPolicy& policy) {
-  if (const auto* p = std::get_if<Hysteresis>(&policy))
+  if (const auto* p = std::get_if<HysteresisLending>(&policy))
     return {p->high, p->low, p->lend_after, p->return_after};
-  const auto& p = std::get<AheadOfPeak>(policy);
+  const auto& p = std::get<PredictiveLending>(policy);
   return {p.high, p.low, Duration::zero(), p.return_after};
 }
 
-size_t BinAt(const AheadOfPeak& policy, Time at) {
+size_t BinAt(const PredictiveLending& policy, Time at) {
   Duration into = at.time_since_epoch() % policy.period;
   return static_cast<size_t>(into.count() * policy.bins /
                              policy.period.count());
@@ -57,7 +57,7 @@
 }
 
 void Lender::Learn(Time now, PoolMemory* memory) const {
-  const auto* policy = std::get_if<AheadOfPeak>(&policy_);
+  const auto* policy = std::get_if<PredictiveLending>(&policy_);
   if (!policy)
     return;
   if (memory->bins.empty())
@@ -77,7 +77,7 @@
 
 double Lender::Expected(Time now, const PoolMemory& memory) const {
   double expected = memory.demand;
-  const auto* policy = std::get_if<AheadOfPeak>(&policy_);
+  const auto* policy = std::get_if<PredictiveLending>(&policy_);
   if (!policy || memory.bins.empty())
     return expected;
   Duration width = policy->period / policy->bins;
@@ -131,7 +131,7 @@
                      return (a->phase != HostPhase::kActive) >
                             (b->phase != HostPhase::kActive);
                    });
-  bool lends = !std::holds_alternative<StaticSpare>(policy_);
+  bool lends = !std::holds_alternative<StaticLending>(policy_);
   size_t next = 0;
   for (const auto& [id, pool] : state.pools) {
     if (pool.spare)
--- a/radishmoor/fleet/lending.h
+++ b/radishmoor/fleet/lending.h
@@ -26,10 +26,10 @@
 using LendingPlan = std::map<HostId, PoolId>;
 
 // Lends nothing; hosts on loan return.
-struct StaticSpare {};
+struct StaticLending {};
 
 // Lends while the load is high, takes back while it is low.
-struct Hysteresis {
+struct HysteresisLending {
   double high = 0.9;  // Load for each host of the pool above which to lend.
   double low = 0.5;   // Load after the return below which to take back.
   Duration lend_after = Seconds(2);
@@ -37,7 +37,7 @@
 };
 
 // Learns the load of each pool over a period and lends before it rises.
-struct AheadOfPeak {
+struct PredictiveLending {
   double high = 0.9;
   double low = 0.5;
   Duration period = Seconds(86400);
@@ -48,7 +48,8 @@
   double weight = 0.5;  // Of the newest period in the learned load.
 };
 
-using LendingPolicy = std::variant<StaticSpare, Hysteresis, AheadOfPeak>;
+using LendingPolicy =
+    std::variant<StaticLending, HysteresisLending, PredictiveLending>;
 
 class Lender {
  public:
--- a/radishmoor/fleet/testing/controller_test.cc
+++ b/radishmoor/fleet/testing/controller_test.cc
@@ -299,7 +299,7 @@
   CHECK(returns.size() >= 7);
   CHECK(*returns.rbegin() - *returns.begin() > Seconds(1));
   WriterCase c(1);
-  c.writer.SetSharers(4);
+  c.writer.SetWriterCount(4);
   int calls = 0;
   for (Time now = At(10); now < At(20); now += Milliseconds(1)) {
     if (!c.writer.Ready(now))
@@ -693,11 +693,11 @@
 
 // Guards against lending that follows a peak too late or never ends.
 TEST_CASE("policies lend for a peak and take back after it") {
-  const LendingPolicy hysteresis = Hysteresis{};
-  const LendingPolicy ahead =
-      AheadOfPeak{.period = Seconds(300), .bins = 60, .lead = Seconds(60)};
+  const LendingPolicy hysteresis = HysteresisLending{};
+  const LendingPolicy ahead = PredictiveLending{
+      .period = Seconds(300), .bins = 60, .lead = Seconds(60)};
   for (const LendingPolicy& policy : {hysteresis, ahead}) {
-    bool learns = std::holds_alternative<AheadOfPeak>(policy);
+    bool learns = std::holds_alternative<PredictiveLending>(policy);
     SimOptions options = Quiet();
     options.control.lending = policy;
     FleetSim sim(options);
--- a/radishmoor/fleet/testing/fleet_bench.cc
+++ b/radishmoor/fleet/testing/fleet_bench.cc
@@ -40,13 +40,13 @@
 };
 
 std::vector<Variant> Variants(Duration period) {
-  return {{"static, one host at a time", StaticSpare{}, true},
-          {"static", StaticSpare{}},
-          {"hysteresis", Hysteresis{.return_after = period / 4}},
-          {"ahead of peak", AheadOfPeak{.period = period,
-                                        .bins = 30,
-                                        .lead = Seconds(30),
-                                        .return_after = Seconds(10)}}};
+  return {{"static, one host at a time", StaticLending{}, true},
+          {"static", StaticLending{}},
+          {"hysteresis", HysteresisLending{.return_after = period / 4}},
+          {"ahead of peak", PredictiveLending{.period = period,
+                                              .bins = 30,
+                                              .lead = Seconds(30),
+                                              .return_after = Seconds(10)}}};
 }
 
 struct Figures {
--- a/radishmoor/fleet/types.h
+++ b/radishmoor/fleet/types.h
@@ -143,7 +143,7 @@
                                  WaveReport>;
 
 // Counters, monotonic, for the metrics endpoint.
-struct FleetFigures {
+struct FleetCounters {
   uint64_t commits = 0;
   uint64_t conflicts = 0;
   uint64_t unavailable = 0;
--- a/radishmoor/fleet/wave.cc
+++ b/radishmoor/fleet/wave.cc
@@ -167,7 +167,7 @@
         health.Partitioned(host->zone)) {
       continue;
     }
-    HostHealth seen = health.Of(now, *host);
+    HostHealth seen = health.HealthOf(now, *host);
     if (seen == HostHealth::kFailed || seen == HostHealth::kUnreachable)
       ++failures;
   }
--- a/radishmoor/jobs/commit_chain.cc
+++ b/radishmoor/jobs/commit_chain.cc
@@ -79,7 +79,7 @@
   ++state_.counters.commits;
   Duration timeout =
       std::clamp(latency_ * kTimeoutFactor, kMinTimeout, kMaxTimeout);
-  commit_.tag = outbox.Store(CommitRows{std::move(transaction)}, timeout);
+  commit_.tag = outbox.CallStore(CommitRows{std::move(transaction)}, timeout);
 }
 
 void CommitChain::AddLease(Time now,
@@ -130,7 +130,7 @@
     InFlight::JobPart part{id, job.state, job.changes};
     if (IsFinal(job.state) && !job.HasRuns() && !job.definition_dropped) {
       transaction.writes.push_back(
-          {JobKey(state_.pool, id), std::string(kEndedJobMark)});
+          {JobKey(state_.pool, id), std::string(kEndedJobTombstone)});
       part.definition_dropped = true;
     } else if (!job.definition_stored) {
       std::string definition = EncodeJob(job.spec);
@@ -172,14 +172,14 @@
   }
 }
 
-OwnerBeat CommitChain::LeaseBeat(Time now) const {
-  OwnerBeat beat;
-  beat.pool = state_.pool;
-  beat.token = state_.token;
-  beat.lease_version = options_.lease_version;
-  beat.renewed_age = now - renewed_;
-  beat.released = released_;
-  return beat;
+OwnerHeartbeat CommitChain::LeaseHeartbeat(Time now) const {
+  OwnerHeartbeat heartbeat;
+  heartbeat.pool = state_.pool;
+  heartbeat.token = state_.token;
+  heartbeat.lease_version = options_.lease_version;
+  heartbeat.renewed_age = now - renewed_;
+  heartbeat.released = released_;
+  return heartbeat;
 }
 
 bool CommitChain::OnAnswer(Time now,
@@ -219,7 +219,7 @@
     Job* job = state_.jobs.Find(part.job);
     if (job == nullptr)
       continue;
-    job->shown = part.state;
+    job->reported_state = part.state;
     job->stored_changes = std::max(job->stored_changes, part.changes);
     job->definition_stored = job->definition_stored || part.definition_stored ||
                              part.definition_dropped;
--- a/radishmoor/jobs/commit_chain.h
+++ b/radishmoor/jobs/commit_chain.h
@@ -72,7 +72,7 @@
   Time renewed() const { return renewed_; }
   void set_renewed(Time at) { renewed_ = at; }
   // What an owner announces of its lease; the rest is left empty.
-  OwnerBeat LeaseBeat(Time now) const;
+  OwnerHeartbeat LeaseHeartbeat(Time now) const;
 
  private:
   struct InFlight {
--- a/radishmoor/jobs/fleet_keeper.h
+++ b/radishmoor/jobs/fleet_coordinator.h
@@ -2,16 +2,16 @@
 // host through the owner of its pool, then has the platform maintain or move
 // it, a limited number at once.
 //
-// One process keeps the fleet, by a lease of its own (kFleetPool). A successor
-// decides anew, with a higher token: the API answers a call that was carried
-// out already without carrying it out again.
+// One process keeps the fleet, by a lease of its own (kFleetPseudoPool). A
+// successor decides anew, with a higher token: the API answers a call that was
+// carried out already without carrying it out again.
 //
 // Load that it answers: waves over half of the hosts that must be over within
 // some 25 s, while queues peak in turn. Hosts of pools with little demand go
 // first, standby hosts before all.
 
-#ifndef RADISHMOOR_JOBS_FLEET_KEEPER_H_
-#define RADISHMOOR_JOBS_FLEET_KEEPER_H_
+#ifndef RADISHMOOR_JOBS_FLEET_COORDINATOR_H_
+#define RADISHMOOR_JOBS_FLEET_COORDINATOR_H_
 
 #include <cstdint>
 #include <deque>
@@ -31,12 +31,12 @@
 namespace radishmoor {
 
 // Names the fleet's lease and the partition of its rows. No pool has this name.
-inline constexpr std::string_view kFleetPool = "@fleet";
+inline constexpr std::string_view kFleetPseudoPool = "@fleet";
 
-struct FleetKeeperOptions {
+struct FleetCoordinatorOptions {
   MemberId node;
   std::string address;
-  JobBounds bounds;
+  PlatformBounds bounds;
   FencingToken token = 0;
   RowVersion lease_version = 0;
   Time lease_taken;
@@ -44,32 +44,33 @@
 };
 
 // Whom to ask about a pool.
-struct PoolContact {
+struct PoolOwnerContact {
   MemberId node;
   std::string address;
-  OwnerBeat beat;  // As last announced.
+  OwnerHeartbeat heartbeat;  // As last announced.
 
   double demand_share() const {
-    return beat.capacity_cores > 0 ? beat.demand_cores / beat.capacity_cores
-                                   : 0;
+    return heartbeat.capacity_cores > 0
+               ? heartbeat.demand_cores / heartbeat.capacity_cores
+               : 0;
   }
 };
 
 // A wave, and since when its time runs as far as this process knows.
-struct KnownWave {
+struct ObservedWave {
   MaintenanceWave plan;
   Time seen;
 };
 
-class FleetKeeper {
+class FleetCoordinator {
  public:
-  // `forecast` outlives the keeper.
-  FleetKeeper(const FleetKeeperOptions& options,
-              const TurnForecast& forecast,
-              Outbox& outbox);
+  // `forecast` outlives the coordinator.
+  FleetCoordinator(const FleetCoordinatorOptions& options,
+                   const PeakForecast& forecast,
+                   Outbox& outbox);
 
   void OnConfig(const JobConfig& config) { config_ = config; }
-  void OnWaves(std::span<const KnownWave> waves, Outbox& outbox);
+  void OnWaves(std::span<const ObservedWave> waves, Outbox& outbox);
   void OnVacateAnswer(Time now, const VacateAnswer& answer);
   bool OnStoreAnswer(Time now, const StoreAnswer& answer);
   bool OnHostReply(Time now, const HostReply& reply, Outbox& outbox);
@@ -78,14 +79,16 @@
   bool wants_hosts() const;
   // `contacts`: the owners of pools, as far as they are known.
   void Tick(Time now,
-            const std::map<PoolId, PoolContact>& contacts,
+            const std::map<PoolId, PoolOwnerContact>& contacts,
             Outbox& outbox);
   Time next_wake() const { return next_wake_; }
 
   void Release(const MemberId& successor) { chain_.Release(successor); }
   bool released() const { return chain_.released(); }
   bool lost() const { return chain_.lost() || fenced_; }
-  OwnerBeat Beat(Time now) const { return chain_.LeaseBeat(now); }
+  OwnerHeartbeat MakeHeartbeat(Time now) const {
+    return chain_.LeaseHeartbeat(now);
+  }
 
  private:
   enum class Stage : uint8_t {
@@ -94,14 +97,14 @@
     kCalling,    // The call is under way, or repeated.
     kReturning,  // The call was carried out; the host is not back yet.
   };
-  struct Duty {
+  struct HostOperation {
     Stage stage = Stage::kEmptying;
-    DutyKind kind = DutyKind::kMaintain;
+    HostOperationKind kind = HostOperationKind::kMaintain;
     uint64_t wave = 0;  // Of maintenance.
     PoolId pool;        // That the host is in.
     PoolId target;      // Of a move.
     ServerId server;    // That ends by the call.
-    Time since;         // Of the stage.
+    Time stage_since;
     Time started;
     Time next_try;
     Time next_request;  // To keep the server empty.
@@ -127,30 +130,30 @@
   void SendLoad(Outbox& outbox);
   void OnLoadRow(const Row& row);
   void ReportWaves(Time now, Outbox& outbox);
-  void StartDuties(Time now,
-                   const std::map<PoolId, PoolContact>& contacts,
-                   Outbox& outbox);
+  void StartHostOperations(Time now,
+                           const std::map<PoolId, PoolOwnerContact>& contacts,
+                           Outbox& outbox);
   void StartMoves(Time now,
-                  const std::map<PoolId, PoolContact>& contacts,
+                  const std::map<PoolId, PoolOwnerContact>& contacts,
                   Outbox& outbox);
   // Begins `moves` with hosts that can be emptied; if those of a standby pool
   // do not suffice, with hosts that are being emptied to go there.
   void StartMove(Time now,
                  const HostMoves& moves,
-                 const std::map<PoolId, PoolContact>& contacts,
+                 const std::map<PoolId, PoolOwnerContact>& contacts,
                  Outbox& outbox);
   void RedirectMoves(Time now,
                      const PoolId& to,
                      uint32_t count,
-                     const std::map<PoolId, PoolContact>& contacts,
+                     const std::map<PoolId, PoolOwnerContact>& contacts,
                      Outbox& outbox);
   // Hosts that are being emptied to move to the pool.
   uint32_t EmptyingFor(const PoolId& pool) const;
   // Begins the emptying of a listed host; of maintenance, unless changed.
-  Duty& AddDuty(Time now, const HostId& host);
-  std::vector<PoolSize> Sizes(
+  HostOperation& AddHostOperation(Time now, const HostId& host);
+  std::vector<PoolSizingInput> Sizes(
       Time now,
-      const std::map<PoolId, PoolContact>& contacts) const;
+      const std::map<PoolId, PoolOwnerContact>& contacts) const;
   // Up to `count` hosts of the pool that can be moved, none of them in the
   // zones of `avoid`.
   std::vector<HostId> Movable(
@@ -158,45 +161,45 @@
       const PoolId& pool,
       uint32_t count,
       std::span<const ZoneId> avoid,
-      const std::map<PoolId, PoolContact>& contacts) const;
-  bool MayCall(const Duty& duty) const;
+      const std::map<PoolId, PoolOwnerContact>& contacts) const;
+  bool MayCall(const HostOperation& operation) const;
   // The present owner of the pool has said lately that the server is empty.
   bool IsEmpty(Time now,
-               const Duty& duty,
-               const std::map<PoolId, PoolContact>& contacts) const;
+               const HostOperation& operation,
+               const std::map<PoolId, PoolOwnerContact>& contacts) const;
   // False if nobody is known to own the pool.
-  bool RequestVacate(const Duty& duty,
+  bool RequestVacate(const HostOperation& operation,
                      bool withdraw,
-                     const std::map<PoolId, PoolContact>& contacts,
+                     const std::map<PoolId, PoolOwnerContact>& contacts,
                      Outbox& outbox);
   void KeepEmpty(Time now,
-                 Duty& duty,
-                 const std::map<PoolId, PoolContact>& contacts,
+                 HostOperation& operation,
+                 const std::map<PoolId, PoolOwnerContact>& contacts,
                  Outbox& outbox);
   // The host cannot, or need not, be emptied now.
   bool MustGiveUp(Time now,
                   const HostId& host,
-                  const Duty& duty,
-                  const std::map<PoolId, PoolContact>& contacts) const;
+                  const HostOperation& operation,
+                  const std::map<PoolId, PoolOwnerContact>& contacts) const;
   void GiveUp(Time now,
               const HostId& host,
-              const Duty& duty,
-              const std::map<PoolId, PoolContact>& contacts,
+              const HostOperation& operation,
+              const std::map<PoolId, PoolOwnerContact>& contacts,
               Outbox& outbox);
   // A wave can wait for the pools with little demand.
   bool HasTime(Time now, const Wave& wave) const;
-  void AdvanceDuty(Time now,
-                   const HostId& host,
-                   Duty& duty,
-                   const std::map<PoolId, PoolContact>& contacts,
-                   Outbox& outbox);
+  void AdvanceHostOperation(Time now,
+                            const HostId& host,
+                            HostOperation& operation,
+                            const std::map<PoolId, PoolOwnerContact>& contacts,
+                            Outbox& outbox);
   void OnCallReply(Time now,
                    const HostId& host,
-                   Duty& duty,
+                   HostOperation& operation,
                    HostOutcome outcome,
                    Outbox& outbox);
   void RemoveRow(const HostId& host) {
-    chain_.Write({DutyKey(state_.pool, host), "", true});
+    chain_.Write({HostOperationKey(state_.pool, host), "", true});
   }
   // The call for the host is over. Its row goes later: as long as it is there,
   // a successor leaves the host alone for a while.
@@ -204,10 +207,15 @@
     old_rows_.emplace_back(now, host);
   }
   void RemoveOldRows(Time now);
-  // No earlier keeper can have made a call for the host lately.
+  // No earlier coordinator can have made a call for the host lately.
   bool MayCallFor(Time now, const HostId& host) const;
-  void StoreDuty(Time now, const HostId& host, Duty& duty);
-  void MarkMaintained(Time now, const HostId& host, Duty& duty, Outbox& out);
+  void StoreHostOperation(Time now,
+                          const HostId& host,
+                          HostOperation& operation);
+  void MarkMaintained(Time now,
+                      const HostId& host,
+                      HostOperation& operation,
+                      Outbox& out);
   void CheckCompleted(Time now, Wave& wave, Outbox& outbox);
   bool IsStandby(const PoolId& pool) const;
   // Hosts of the wave that are, or may be, down for maintenance.
@@ -215,7 +223,7 @@
   bool HasOpenWave() const;
   void Wake(Time at) { next_wake_ = std::min(next_wake_, at); }
 
-  FleetKeeperOptions options_;
+  FleetCoordinatorOptions options_;
   JobConfig config_;
   JobPoolState state_;  // Without jobs; the chain needs one.
   CommitChain chain_;
@@ -226,12 +234,12 @@
 
   std::map<HostId, HostListing> hosts_;
   std::map<uint64_t, Wave> waves_;
-  std::map<HostId, Duty> duties_;
+  std::map<HostId, HostOperation> host_operations_;
   FleetSizing sizing_;
   Time next_sizing_;
   std::map<HostId, std::set<uint64_t>> stored_done_;
   std::deque<std::pair<Time, HostId>> old_rows_;
-  // Hosts for which an earlier keeper may have made calls lately.
+  // Hosts for which an earlier coordinator may have made calls lately.
   std::set<HostId> called_before_;
   bool fenced_ = false;
   Time next_wake_ = kTimeMax;
@@ -239,4 +247,4 @@
 
 }  // namespace radishmoor
 
-#endif  // RADISHMOOR_JOBS_FLEET_KEEPER_H_
+#endif  // RADISHMOOR_JOBS_FLEET_COORDINATOR_H_
--- a/radishmoor/jobs/fleet_sizing.cc
+++ b/radishmoor/jobs/fleet_sizing.cc
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-uint32_t FleetSizing::Needed(Time now, const PoolSize& pool) {
+uint32_t FleetSizing::Needed(Time now, const PoolSizingInput& pool) {
   History& history = history_[pool.pool];
   double elapsed = ToSeconds(now - history.at);
   if (history.seen && elapsed > 0 && elapsed < kMaxStep) {
@@ -60,7 +60,7 @@
   return new_site_ && !used_ && now - *started_ < kStartTime;
 }
 
-uint32_t FleetSizing::NeededLately(Time now, const PoolSize& pool) {
+uint32_t FleetSizing::NeededLately(Time now, const PoolSizingInput& pool) {
   if (InStartTime(now))
     return pool.hosts;
   uint32_t most = 0;
@@ -70,23 +70,23 @@
 }
 
 std::vector<HostMoves> FleetSizing::Plan(Time now,
-                                         std::span<const PoolSize> pools,
+                                         std::span<const PoolSizingInput> pools,
                                          uint32_t limit) {
   if (!started_)
     started_ = now;
-  for (const PoolSize& pool : pools) {
+  for (const PoolSizingInput& pool : pools) {
     double cores = pool.cores_per_host * pool.hosts;
     used_ = used_ || (pool.known && pool.demand_cores > kUsedShare * cores);
   }
   struct Balance {
-    const PoolSize* pool = nullptr;
+    const PoolSizingInput* pool = nullptr;
     uint32_t short_by = 0;
     uint32_t can_give = 0;     // To pools that are short of hosts.
     uint32_t can_put_off = 0;  // To standby.
   };
   std::vector<Balance> balances;
   PoolId standby;
-  for (const PoolSize& pool : pools) {
+  for (const PoolSizingInput& pool : pools) {
     Balance balance{&pool};
     if (pool.standby) {
       standby = pool.pool;
--- a/radishmoor/jobs/fleet_sizing.h
+++ b/radishmoor/jobs/fleet_sizing.h
@@ -23,11 +23,11 @@
 
 #include "radishmoor/base/ids.h"
 #include "radishmoor/base/time.h"
-#include "radishmoor/jobs/turn_forecast.h"
+#include "radishmoor/jobs/peak_forecast.h"
 
 namespace radishmoor {
 
-struct PoolSize {
+struct PoolSizingInput {
   PoolId pool;
   bool standby = false;
   // Cores of running and ready tasks; of a pool with an owner that is heard.
@@ -56,12 +56,12 @@
  public:
   // `new_site`: the queues have not been used yet. `forecast` is kept up to
   // date by its owner and outlives this object.
-  FleetSizing(bool new_site, const TurnForecast& forecast)
+  FleetSizing(bool new_site, const PeakForecast& forecast)
       : new_site_(new_site), forecast_(forecast) {}
 
   // The moves to begin now. At most `limit` hosts.
   std::vector<HostMoves> Plan(Time now,
-                              std::span<const PoolSize> pools,
+                              std::span<const PoolSizingInput> pools,
                               uint32_t limit);
 
  private:
@@ -78,17 +78,17 @@
   };
 
   // Hosts that the pool needs now.
-  uint32_t Needed(Time now, const PoolSize& pool);
+  uint32_t Needed(Time now, const PoolSizingInput& pool);
   // The most that it needed lately; never less than it has in the first
   // seconds.
-  uint32_t NeededLately(Time now, const PoolSize& pool);
+  uint32_t NeededLately(Time now, const PoolSizingInput& pool);
 
   bool InStartTime(Time now) const;
 
   bool new_site_;
   bool used_ = false;
   std::map<PoolId, History> history_;
-  const TurnForecast& forecast_;
+  const PeakForecast& forecast_;
   std::optional<Time> started_;
 };
 
--- a/radishmoor/jobs/job.h
+++ b/radishmoor/jobs/job.h
@@ -80,7 +80,7 @@
   // The tasks run until the job is cancelled.
   bool long_running = false;
   // The tasks use what others leave; their cores do not count.
-  bool uses_spare = false;
+  bool best_effort = false;
   std::string requirement;
   RackId data_rack;
   uint32_t max_per_server = 0;  // 0: no limit.
@@ -92,7 +92,7 @@
   // What a task takes from its server's capacity.
   Resources counted_request() const {
     Resources counted = request;
-    if (uses_spare)
+    if (best_effort)
       counted.cpu_millis = 0;
     return counted;
   }
@@ -243,7 +243,7 @@
   Resources capacity;
   bool draining = false;
   // Unix milliseconds of the start of this life.
-  WallMillis born = 0;
+  WallMillis incarnation_started_at = 0;
   // While draining: the least time that is left.
   Duration remaining{};
 };
--- a/radishmoor/jobs/peer_frames.cc
+++ b/radishmoor/jobs/job_peer_codec.cc
@@ -1,4 +1,4 @@
-#include "radishmoor/jobs/peer_frames.h"
+#include "radishmoor/jobs/job_peer_codec.h"
 
 #include <utility>
 
@@ -10,7 +10,7 @@
 
 // To the wire, one overload for each message.
 
-void Put(const OwnerBeat& m, jobs_wire::Envelope& envelope) {
+void Put(const OwnerHeartbeat& m, jobs_wire::Envelope& envelope) {
   jobs_wire::OwnerBeat w;
   w.pool = m.pool.str();
   w.token = static_cast<int64_t>(m.token);
@@ -83,8 +83,8 @@
 
 // From the wire.
 
-OwnerBeat From(const jobs_wire::OwnerBeat& w) {
-  OwnerBeat m;
+OwnerHeartbeat From(const jobs_wire::OwnerBeat& w) {
+  OwnerHeartbeat m;
   m.pool = PoolId(w.pool);
   m.token = static_cast<FencingToken>(w.token);
   m.lease_version = static_cast<RowVersion>(w.lease_version);
--- a/radishmoor/jobs/peer_frames.h
+++ b/radishmoor/jobs/job_peer_codec.h
@@ -1,8 +1,8 @@
 // Encoding of messages between the scheduler's processes: Thrift's compact
 // protocol by the schema idl/jobs.thrift.
 
-#ifndef RADISHMOOR_JOBS_PEER_FRAMES_H_
-#define RADISHMOOR_JOBS_PEER_FRAMES_H_
+#ifndef RADISHMOOR_JOBS_JOB_PEER_CODEC_H_
+#define RADISHMOOR_JOBS_JOB_PEER_CODEC_H_
 
 #include <optional>
 #include <string>
@@ -25,4 +25,4 @@
 
 }  // namespace radishmoor
 
-#endif  // RADISHMOOR_JOBS_PEER_FRAMES_H_
+#endif  // RADISHMOOR_JOBS_JOB_PEER_CODEC_H_
--- a/radishmoor/jobs/intake.cc
+++ b/radishmoor/jobs/job_request_handler.cc
@@ -1,4 +1,4 @@
-#include "radishmoor/jobs/intake.h"
+#include "radishmoor/jobs/job_request_handler.h"
 
 #include <algorithm>
 
@@ -17,12 +17,12 @@
 // An owner that was heard of, and renewed its lease, this lately. While the
 // store is slow a renewal takes a second and more; an owner stores what has
 // gathered with each, while inserts of their own would keep it from that.
-constexpr Duration kFreshBeat = Milliseconds(800);
+constexpr Duration kFreshHeartbeatAge = Milliseconds(800);
 constexpr Duration kHealthyOwner = Milliseconds(3000);
 constexpr Duration kStoreTimeout = Milliseconds(500);
 constexpr Duration kStoreRetry = Milliseconds(60);
 // Queue lengths are answered from an announcement of at most this age.
-constexpr Duration kMaxBeatAge = Milliseconds(1800);
+constexpr Duration kMaxHeartbeatAge = Milliseconds(1800);
 constexpr Duration kUnavailableRetry = Seconds(1);
 // A store that is lost stays away for some seconds as a rule.
 constexpr Duration kStoreLostRetry = Seconds(2);
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-void Intake::OnConfig(Time now, const JobConfig& config) {
+void JobRequestHandler::OnConfig(Time now, const JobConfig& config) {
   if (config.version < config_.version)
     return;
   for (const QueueConfig& queue : config.queues) {
@@ -69,8 +69,9 @@
   config_ = config;
 }
 
-Intake::Route Intake::FindRoute(std::string_view host,
-                                std::string_view path) const {
+JobRequestHandler::Route JobRequestHandler::FindRoute(
+    std::string_view host,
+    std::string_view path) const {
   Route best;
   for (const QueueConfig& queue : config_.queues) {
     if (queue.host != host || !path.starts_with(queue.path_prefix))
@@ -82,7 +83,10 @@
   return best;
 }
 
-void Intake::OnCall(Time now, WallMillis wall, JobCall call, Outbox& outbox) {
+void JobRequestHandler::OnCall(Time now,
+                               WallMillis wall,
+                               JobCall call,
+                               Outbox& outbox) {
   const auto& [host, path] = std::visit(
       [](const auto& request) { return std::tie(request.host, request.path); },
       call.request);
@@ -138,7 +142,10 @@
   Start(now, id, it->second, outbox);
 }
 
-void Intake::Start(Time now, JobCallId id, OpenCall& call, Outbox& outbox) {
+void JobRequestHandler::Start(Time now,
+                              JobCallId id,
+                              OpenCall& call,
+                              Outbox& outbox) {
   if (call.kind == Kind::kSubmit && store_lost_) {
     Refuse(id, CallOutcome::kUnavailable, kStoreLostRetry, "store-lost",
            outbox);
@@ -154,8 +161,9 @@
     return;
   }
   const PoolOwner* owner = leases_.OwnerOf(call.pool);
-  bool local = local_beats_.contains(call.pool);
-  bool heard = owner != nullptr && now - owner->heard < kMaxBeatAge;
+  bool local = local_heartbeats_.contains(call.pool);
+  bool heard =
+      owner != nullptr && now - owner->last_heartbeat_at < kMaxHeartbeatAge;
   if (!local && !heard) {
     Read(id, call, outbox);
     return;
@@ -170,30 +178,36 @@
       outbox);
 }
 
-void Intake::SendToOwner(const PoolId& pool,
-                         JobPeerMessage message,
-                         Outbox& outbox) {
+void JobRequestHandler::SendToOwner(const PoolId& pool,
+                                    JobPeerMessage message,
+                                    Outbox& outbox) {
   const PoolOwner* owner = leases_.OwnerOf(pool);
-  if (local_beats_.contains(pool))
-    outbox.Send(node_, "", std::move(message));
+  if (local_heartbeats_.contains(pool))
+    outbox.SendToPeer(node_, "", std::move(message));
   else if (owner != nullptr)
-    outbox.Send(owner->node, owner->address, std::move(message));
+    outbox.SendToPeer(owner->node, owner->address, std::move(message));
 }
 
-void Intake::Submit(Time now, JobCallId id, OpenCall& call, Outbox& outbox) {
+void JobRequestHandler::Submit(Time now,
+                               JobCallId id,
+                               OpenCall& call,
+                               Outbox& outbox) {
   if (!HandOver(now, id, call, outbox))
     Store(now, id, call, outbox);
 }
 
-bool Intake::HandOver(Time now, JobCallId id, OpenCall& call, Outbox& outbox) {
-  auto local = local_beats_.find(call.pool);
+bool JobRequestHandler::HandOver(Time now,
+                                 JobCallId id,
+                                 OpenCall& call,
+                                 Outbox& outbox) {
+  auto local = local_heartbeats_.find(call.pool);
   const PoolOwner* owner = leases_.OwnerOf(call.pool);
   Duration unrenewed = kTimeMax - kTimeZero;
-  if (local != local_beats_.end())
+  if (local != local_heartbeats_.end())
     unrenewed = local->second.first.renewed_age;
-  else if (owner != nullptr && !owner->beat.released &&
-           now - owner->heard < kFreshBeat)
-    unrenewed = now - owner->heard + owner->beat.renewed_age;
+  else if (owner != nullptr && !owner->heartbeat.released &&
+           now - owner->last_heartbeat_at < kFreshHeartbeatAge)
+    unrenewed = now - owner->last_heartbeat_at + owner->heartbeat.renewed_age;
   if (unrenewed > kHealthyOwner)
     return false;
   call.stage = Stage::kAskingOwner;
@@ -207,7 +221,10 @@
   return true;
 }
 
-void Intake::Store(Time now, JobCallId id, OpenCall& call, Outbox& outbox) {
+void JobRequestHandler::Store(Time now,
+                              JobCallId id,
+                              OpenCall& call,
+                              Outbox& outbox) {
   call.stage = Stage::kStoring;
   call.retry_at = kTimeMax;
   Transaction transaction;
@@ -219,14 +236,14 @@
   Duration timeout =
       std::clamp(call.deadline - now, Milliseconds(50),
                  call.uncertain ? 2 * kStoreTimeout : kStoreTimeout);
-  uint64_t tag = outbox.Store(CommitRows{std::move(transaction)}, timeout);
+  uint64_t tag = outbox.CallStore(CommitRows{std::move(transaction)}, timeout);
   store_calls_[tag] = id;
 }
 
-void Intake::OnStored(Time now,
-                      JobCallId id,
-                      const StoreReply& reply,
-                      Outbox& outbox) {
+void JobRequestHandler::OnStored(Time now,
+                                 JobCallId id,
+                                 const StoreReply& reply,
+                                 Outbox& outbox) {
   OpenCall& call = calls_.at(id);
   bool conflict = std::holds_alternative<ConflictReply>(reply);
   if (conflict || std::holds_alternative<CommittedReply>(reply)) {
@@ -252,21 +269,24 @@
   }
 }
 
-void Intake::OnAccepted(Time now, JobCallId id, bool repeat, Outbox& outbox) {
+void JobRequestHandler::OnAccepted(Time now,
+                                   JobCallId id,
+                                   bool repeat,
+                                   Outbox& outbox) {
   const OpenCall& call = calls_.at(id);
   ++(repeat ? counters_.repeated : counters_.accepted);
-  outbox.Log("job-stored",
-             {{"job", call.job.str()},
-              {"queue", call.queue.str()},
-              {"pool", call.pool.str()},
-              {"repeat", repeat ? 1 : 0},
-              {"by_owner", call.stage == Stage::kAskingOwner ? 1 : 0},
-              {"took_ms", WholeMilliseconds(now - call.arrived)},
-              {"config", static_cast<int64_t>(config_.version)}});
+  outbox.LogDecision("job-stored",
+                     {{"job", call.job.str()},
+                      {"queue", call.queue.str()},
+                      {"pool", call.pool.str()},
+                      {"repeat", repeat ? 1 : 0},
+                      {"by_owner", call.stage == Stage::kAskingOwner ? 1 : 0},
+                      {"took_ms", WholeMilliseconds(now - call.arrived)},
+                      {"config", static_cast<int64_t>(config_.version)}});
   Finish(id, {.outcome = CallOutcome::kAccepted}, outbox);
 }
 
-void Intake::Read(JobCallId id, OpenCall& call, Outbox& outbox) {
+void JobRequestHandler::Read(JobCallId id, OpenCall& call, Outbox& outbox) {
   call.pools_to_read.clear();
   for (const QueueConfig& queue : config_.queues) {
     if (queue.pool != call.pool &&
@@ -277,21 +297,21 @@
   ReadPool(id, call, call.pool, outbox);
 }
 
-void Intake::ReadPool(JobCallId id,
-                      OpenCall& call,
-                      const PoolId& pool,
-                      Outbox& outbox) {
+void JobRequestHandler::ReadPool(JobCallId id,
+                                 OpenCall& call,
+                                 const PoolId& pool,
+                                 Outbox& outbox) {
   call.stage = Stage::kReading;
-  uint64_t tag = outbox.Store(
+  uint64_t tag = outbox.CallStore(
       ReadRows{{ProgressKey(pool, call.job), JobKey(pool, call.job)}},
       kStoreTimeout);
   store_calls_[tag] = id;
 }
 
-void Intake::OnRead(Time now,
-                    JobCallId id,
-                    const StoreReply& reply,
-                    Outbox& outbox) {
+void JobRequestHandler::OnRead(Time now,
+                               JobCallId id,
+                               const StoreReply& reply,
+                               Outbox& outbox) {
   OpenCall& call = calls_.at(id);
   const auto* rows = std::get_if<RowsReply>(&reply);
   if (rows == nullptr || rows->rows.size() != 2) {
@@ -338,24 +358,24 @@
     AnswerState(id, state, outbox);
 }
 
-void Intake::Mark(JobCallId id, OpenCall& call, Outbox& outbox) {
+void JobRequestHandler::Mark(JobCallId id, OpenCall& call, Outbox& outbox) {
   call.stage = Stage::kMarking;
   Transaction transaction;
   transaction.writes.push_back(
       {InboxKey(call.pool, kInboxCancelled, call.job), ""});
-  store_calls_[outbox.Store(CommitRows{std::move(transaction)},
-                            kStoreTimeout)] = id;
+  store_calls_[outbox.CallStore(CommitRows{std::move(transaction)},
+                                kStoreTimeout)] = id;
 }
 
-void Intake::OnMarked(Time now,
-                      JobCallId id,
-                      const StoreReply& reply,
-                      Outbox& outbox) {
+void JobRequestHandler::OnMarked(Time now,
+                                 JobCallId id,
+                                 const StoreReply& reply,
+                                 Outbox& outbox) {
   OpenCall& call = calls_.at(id);
   if (std::holds_alternative<CommittedReply>(reply)) {
     ++counters_.cancelled;
-    outbox.Log("job-cancel-marked",
-               {{"job", call.job.str()}, {"pool", call.pool.str()}});
+    outbox.LogDecision("job-cancel-marked",
+                       {{"job", call.job.str()}, {"pool", call.pool.str()}});
     Finish(id, {.outcome = CallOutcome::kCancelled}, outbox);
     return;
   }
@@ -365,9 +385,9 @@
            outbox);
 }
 
-bool Intake::OnStoreAnswer(Time now,
-                           const StoreAnswer& answer,
-                           Outbox& outbox) {
+bool JobRequestHandler::OnStoreAnswer(Time now,
+                                      const StoreAnswer& answer,
+                                      Outbox& outbox) {
   auto node = store_calls_.extract(answer.tag);
   if (node.empty())
     return false;
@@ -391,7 +411,9 @@
   return true;
 }
 
-void Intake::OnJobAnswer(Time now, const JobAnswer& answer, Outbox& outbox) {
+void JobRequestHandler::OnJobAnswer(Time now,
+                                    const JobAnswer& answer,
+                                    Outbox& outbox) {
   auto node = owner_calls_.extract(answer.request);
   if (node.empty())
     return;
@@ -413,7 +435,9 @@
   AnswerState(it->first, static_cast<JobState>(answer.state), outbox);
 }
 
-void Intake::AnswerState(JobCallId id, JobState state, Outbox& outbox) {
+void JobRequestHandler::AnswerState(JobCallId id,
+                                    JobState state,
+                                    Outbox& outbox) {
   if (calls_.at(id).kind == Kind::kCancel) {
     ++counters_.cancelled;
     Finish(id, {.outcome = CallOutcome::kCancelled}, outbox);
@@ -423,87 +447,93 @@
   Finish(id, {.outcome = CallOutcome::kState, .state = state}, outbox);
 }
 
-void Intake::AnswerPending(Time now,
-                           JobCallId id,
-                           const QueueConfig& queue,
-                           Outbox& outbox) {
-  const OwnerBeat* beat = nullptr;
+void JobRequestHandler::AnswerPending(Time now,
+                                      JobCallId id,
+                                      const QueueConfig& queue,
+                                      Outbox& outbox) {
+  const OwnerHeartbeat* heartbeat = nullptr;
   Duration age{};
-  auto local = local_beats_.find(queue.pool);
+  auto local = local_heartbeats_.find(queue.pool);
   const PoolOwner* owner = leases_.OwnerOf(queue.pool);
-  if (local != local_beats_.end()) {
-    beat = &local->second.first;
+  if (local != local_heartbeats_.end()) {
+    heartbeat = &local->second.first;
     age = now - local->second.second;
   } else if (owner != nullptr) {
-    beat = &owner->beat;
-    age = now - owner->heard;
+    heartbeat = &owner->heartbeat;
+    age = now - owner->last_heartbeat_at;
   }
   // An owner without a recent renewal may have been succeeded.
-  bool current = beat != nullptr && age + beat->renewed_age < kMaxBeatAge;
+  bool current =
+      heartbeat != nullptr && age + heartbeat->renewed_age < kMaxHeartbeatAge;
   const QueueLoad* load = nullptr;
-  for (size_t i = 0; current && i < beat->queues.size(); ++i) {
-    if (beat->queues[i].queue == queue.id)
-      load = &beat->queues[i];
+  for (size_t i = 0; current && i < heartbeat->queues.size(); ++i) {
+    if (heartbeat->queues[i].queue == queue.id)
+      load = &heartbeat->queues[i];
   }
   if (load == nullptr) {
     Refuse(id, CallOutcome::kUnavailable, kUnavailableRetry, "owner-unknown",
            outbox);
     return;
   }
-  outbox.Answer(
+  outbox.AnswerCaller(
       {.id = id, .outcome = CallOutcome::kPending, .pending = load->pending});
 }
 
-void Intake::SetLocalBeat(const OwnerBeat& beat, Time now) {
-  if (beat.released)
-    local_beats_.erase(beat.pool);
+void JobRequestHandler::SetLocalHeartbeat(const OwnerHeartbeat& heartbeat,
+                                          Time now) {
+  if (heartbeat.released)
+    local_heartbeats_.erase(heartbeat.pool);
   else
-    local_beats_[beat.pool] = {beat, now};
+    local_heartbeats_[heartbeat.pool] = {heartbeat, now};
 }
 
-void Intake::OnAbandoned(JobCallId call) {
+void JobRequestHandler::OnAbandoned(JobCallId call) {
   calls_.erase(call);
 }
 
-void Intake::Finish(JobCallId id, AnswerCall answer, Outbox& outbox) {
+void JobRequestHandler::Finish(JobCallId id,
+                               JobCallAnswer answer,
+                               Outbox& outbox) {
   answer.id = id;
   calls_.erase(id);
-  outbox.Answer(std::move(answer));
+  outbox.AnswerCaller(std::move(answer));
 }
 
-void Intake::Refuse(JobCallId id,
-                    CallOutcome outcome,
-                    Duration retry_after,
-                    std::string_view why,
-                    Outbox& outbox) {
+void JobRequestHandler::Refuse(JobCallId id,
+                               CallOutcome outcome,
+                               Duration retry_after,
+                               std::string_view why,
+                               Outbox& outbox) {
   auto it = calls_.find(id);
   ++counters_.refused;
-  outbox.Log("call-refused",
-             {{"job", it == calls_.end() ? "" : it->second.job.str()},
-              {"outcome", std::string(OutcomeName(outcome))},
-              {"reason", std::string(why)},
-              {"config", static_cast<int64_t>(config_.version)}});
+  outbox.LogDecision("call-refused",
+                     {{"job", it == calls_.end() ? "" : it->second.job.str()},
+                      {"outcome", std::string(OutcomeName(outcome))},
+                      {"reason", std::string(why)},
+                      {"config", static_cast<int64_t>(config_.version)}});
   Finish(id,
          {.outcome = outcome,
           .retry_after = retry_after,
           .detail = std::string(why),
-          .connect_anew = store_lost_},
+          .reconnect_elsewhere = store_lost_},
          outbox);
 }
 
-void Intake::GiveUp(JobCallId id, std::string_view why, Outbox& outbox) {
+void JobRequestHandler::GiveUp(JobCallId id,
+                               std::string_view why,
+                               Outbox& outbox) {
   CallOutcome outcome = calls_.at(id).kind == Kind::kRead
                             ? CallOutcome::kUnavailable
                             : CallOutcome::kUncertain;
   Refuse(id, outcome, kUnavailableRetry, why, outbox);
 }
 
-void Intake::EndCalls(Outbox& outbox) {
+void JobRequestHandler::EndCalls(Outbox& outbox) {
   while (!calls_.empty())
     GiveUp(calls_.begin()->first, "process-ending", outbox);
 }
 
-void Intake::Tick(Time now, Outbox& outbox) {
+void JobRequestHandler::Tick(Time now, Outbox& outbox) {
   std::vector<JobCallId> due;
   for (const auto& [id, call] : calls_) {
     bool owner_silent =
@@ -544,7 +574,7 @@
   }
 }
 
-Time Intake::next_wake() const {
+Time JobRequestHandler::next_wake() const {
   Time next = kTimeMax;
   for (const auto& [id, call] : calls_) {
     next = std::min({next, call.deadline, call.retry_at});
--- a/radishmoor/jobs/intake.h
+++ b/radishmoor/jobs/job_request_handler.h
@@ -9,8 +9,8 @@
 // States come from the pool's owner; where it does not answer, from the store.
 // Only the store can say that a job does not exist.
 
-#ifndef RADISHMOOR_JOBS_INTAKE_H_
-#define RADISHMOOR_JOBS_INTAKE_H_
+#ifndef RADISHMOOR_JOBS_JOB_REQUEST_HANDLER_H_
+#define RADISHMOOR_JOBS_JOB_REQUEST_HANDLER_H_
 
 #include <cstdint>
 #include <map>
@@ -25,11 +25,13 @@
 
 namespace radishmoor {
 
-class Intake {
+class JobRequestHandler {
  public:
   // `incarnation`: of the process, so that answers to an earlier one are not
   // taken for its own.
-  Intake(MemberId node, uint64_t incarnation, const PoolLeases& leases)
+  JobRequestHandler(MemberId node,
+                    uint64_t incarnation,
+                    const PoolLeases& leases)
       : node_(std::move(node)),
         leases_(leases),
         next_request_(incarnation << 20 | 1) {}
@@ -49,7 +51,7 @@
   void EndCalls(Outbox& outbox);
 
   // Announcement of a pool that this process owns itself.
-  void SetLocalBeat(const OwnerBeat& beat, Time now);
+  void SetLocalHeartbeat(const OwnerHeartbeat& heartbeat, Time now);
 
   // Without the store nothing can be accepted: submissions are refused at once.
   void SetStoreLost(bool lost) { store_lost_ = lost; }
@@ -113,7 +115,7 @@
                      const QueueConfig& queue,
                      Outbox& outbox);
   void AnswerState(JobCallId id, JobState state, Outbox& outbox);
-  void Finish(JobCallId id, AnswerCall answer, Outbox& outbox);
+  void Finish(JobCallId id, JobCallAnswer answer, Outbox& outbox);
   // Refuses a call that gets no other answer in time.
   void GiveUp(JobCallId id, std::string_view why, Outbox& outbox);
   void Refuse(JobCallId id,
@@ -136,7 +138,7 @@
   std::map<JobCallId, OpenCall> calls_;
   std::map<uint64_t, JobCallId> store_calls_;
   std::map<uint64_t, JobCallId> owner_calls_;
-  std::map<PoolId, std::pair<OwnerBeat, Time>> local_beats_;
+  std::map<PoolId, std::pair<OwnerHeartbeat, Time>> local_heartbeats_;
   uint64_t next_request_;
   Counters counters_;
   bool store_lost_ = false;
@@ -144,4 +146,4 @@
 
 }  // namespace radishmoor
 
-#endif  // RADISHMOOR_JOBS_INTAKE_H_
+#endif  // RADISHMOOR_JOBS_JOB_REQUEST_HANDLER_H_
--- a/radishmoor/jobs/job_rows.cc
+++ b/radishmoor/jobs/job_rows.cc
@@ -33,7 +33,7 @@
   flags |= step.colocated ? kColocated : 0;
   flags |= step.speculative ? kSpeculative : 0;
   flags |= step.long_running ? kLongRunning : 0;
-  flags |= step.uses_spare ? kUsesSpare : 0;
+  flags |= step.best_effort ? kUsesSpare : 0;
   return flags;
 }
 
@@ -66,7 +66,7 @@
   step.colocated = (wire.flags & kColocated) != 0;
   step.speculative = (wire.flags & kSpeculative) != 0;
   step.long_running = (wire.flags & kLongRunning) != 0;
-  step.uses_spare = (wire.flags & kUsesSpare) != 0;
+  step.best_effort = (wire.flags & kUsesSpare) != 0;
   step.requirement = wire.requirement;
   step.data_rack = RackId(wire.data_rack);
   step.max_per_server = static_cast<uint32_t>(wire.max_per_server);
@@ -131,7 +131,7 @@
   return Key("nodes", "", node.str());
 }
 
-std::string DutyKey(const PoolId& pool, const HostId& host) {
+std::string HostOperationKey(const PoolId& pool, const HostId& host) {
   return Key("duties", pool.str(), host.str());
 }
 
@@ -142,7 +142,7 @@
              "w" + std::to_string(wave) + ":" + host.str());
 }
 
-std::string_view KeyName(std::string_view key) {
+std::string_view LastKeyPart(std::string_view key) {
   return key.substr(key.rfind('/') + 1);
 }
 
@@ -266,23 +266,24 @@
                  wire.leaving,        static_cast<uint32_t>(wire.capacity)};
 }
 
-std::string EncodeDuty(const DutyRow& duty) {
+std::string EncodeHostOperation(const HostOperationRow& operation) {
   jobs_wire::Duty wire;
-  wire.host = duty.host.str();
-  wire.kind = static_cast<int32_t>(duty.kind);
-  wire.pool = duty.pool.str();
-  wire.wave = static_cast<int64_t>(duty.wave);
-  wire.server = duty.server.str();
+  wire.host = operation.host.str();
+  wire.kind = static_cast<int32_t>(operation.kind);
+  wire.pool = operation.pool.str();
+  wire.wave = static_cast<int64_t>(operation.wave);
+  wire.server = operation.server.str();
   return ToBytes(wire);
 }
 
-std::optional<DutyRow> DecodeDuty(std::string_view bytes) {
+std::optional<HostOperationRow> DecodeHostOperation(std::string_view bytes) {
   jobs_wire::Duty wire;
   if (!FromBytes(bytes, wire) || wire.kind < 1 || wire.kind > 3)
     return std::nullopt;
-  return DutyRow{HostId(wire.host), static_cast<DutyKind>(wire.kind),
-                 PoolId(wire.pool), static_cast<uint64_t>(wire.wave),
-                 ServerId(wire.server)};
+  return HostOperationRow{HostId(wire.host),
+                          static_cast<HostOperationKind>(wire.kind),
+                          PoolId(wire.pool), static_cast<uint64_t>(wire.wave),
+                          ServerId(wire.server)};
 }
 
 }  // namespace radishmoor
--- a/radishmoor/jobs/job_rows.h
+++ b/radishmoor/jobs/job_rows.h
@@ -32,19 +32,19 @@
 std::string InboxPrefix(const PoolId& pool);
 std::string OwnerLeaseKey(const PoolId& pool);
 std::string NodeKey(const MemberId& node);
-std::string DutyKey(const PoolId& pool, const HostId& host);
+std::string HostOperationKey(const PoolId& pool, const HostId& host);
 // Of a host's maintenance in a wave, once it was carried out.
 std::string MaintainedKey(const PoolId& pool,
                           const HostId& host,
                           uint64_t wave);
 // The last part of a key.
-std::string_view KeyName(std::string_view key);
+std::string_view LastKeyPart(std::string_view key);
 
 inline constexpr char kInboxSubmitted = 's';
 inline constexpr char kInboxCancelled = 'c';
 
 // The value of a job's row after its end: its definition is no longer needed.
-inline constexpr std::string_view kEndedJobMark = "ended";
+inline constexpr std::string_view kEndedJobTombstone = "ended";
 
 struct StoredRun {
   RunNumber number = 0;
@@ -97,11 +97,15 @@
   uint32_t capacity = 0;  // Share of a processor, in thousandths.
 };
 
-enum class DutyKind : uint8_t { kMaintain = 1, kMove = 2, kMaintained = 3 };
+enum class HostOperationKind : uint8_t {
+  kMaintain = 1,
+  kMove = 2,
+  kMaintained = 3
+};
 
-struct DutyRow {
+struct HostOperationRow {
   HostId host;
-  DutyKind kind = DutyKind::kMaintain;
+  HostOperationKind kind = HostOperationKind::kMaintain;
   PoolId pool;        // Of a move: where to.
   uint64_t wave = 0;  // Of maintenance.
   ServerId server;    // That ends by the call.
@@ -116,8 +120,8 @@
 std::optional<LeaseRow> DecodeLease(std::string_view bytes);
 std::string EncodeNode(const NodeRow& node);
 std::optional<NodeRow> DecodeNode(std::string_view bytes);
-std::string EncodeDuty(const DutyRow& duty);
-std::optional<DutyRow> DecodeDuty(std::string_view bytes);
+std::string EncodeHostOperation(const HostOperationRow& operation);
+std::optional<HostOperationRow> DecodeHostOperation(std::string_view bytes);
 
 }  // namespace radishmoor
 
--- a/radishmoor/jobs/job_table.cc
+++ b/radishmoor/jobs/job_table.cc
@@ -27,7 +27,7 @@
   return nullptr;
 }
 
-bool Task::at_work() const {
+bool Task::is_available() const {
   for (const Run& run : runs) {
     if (run.phase == RunPhase::kRunning && run.percent >= 100 &&
         !run.stop_wanted)
@@ -75,7 +75,7 @@
   Job& job = jobs_[id];
   job.id = id;
   job.state = state;
-  job.shown = state;
+  job.reported_state = state;
   job.begun = true;
   job.ended = now;
   job.definition_dropped = true;
@@ -84,7 +84,7 @@
 
 void JobTable::Restore(Job& job, const StoredProgress& progress, Time now) {
   job.state = progress.state;
-  job.shown = progress.state;
+  job.reported_state = progress.state;
   job.begun = progress.begun;
   job.finished_below = progress.finished_below;
   if (IsFinal(job.state))
@@ -109,9 +109,9 @@
         run.number = r.number;
         run.server = r.server;
         run.phase = RunPhase::kInherited;
-        run.since = now;
-        run.ordered = now;
-        run.percent_changed = now;
+        run.phase_since = now;
+        run.start_sent_at = now;
+        run.progress_changed_at = now;
         run.stop_wanted = IsFinal(job.state) || task.done;
         task.runs.push_back(std::move(run));
       }
@@ -165,7 +165,7 @@
       task.index = index;
       task.ready_since = now;
       if (job.spec.steps[step].long_running)
-        task.missing_since = now;
+        task.unavailable_since = now;
       occurrence.tasks.push_back(std::move(task));
     }
   }
--- a/radishmoor/jobs/job_table.h
+++ b/radishmoor/jobs/job_table.h
@@ -36,11 +36,11 @@
   RunNumber number = 0;
   ServerId server;
   RunPhase phase = RunPhase::kPlanned;
-  Time since;                    // Of the phase.
-  Time ordered;                  // When the start was sent.
-  ServerMillis start_lease = 0;  // The start is refused after this time.
+  Time phase_since;
+  Time start_sent_at;                  // When the start was sent.
+  ServerMillis start_valid_until = 0;  // The start is refused after this time.
   uint32_t percent = 0;
-  Time percent_changed;
+  Time progress_changed_at;
   std::string checkpoint;  // Latest seen.
   int64_t load = 0;        // See RunningTask.
   uint32_t pace = 100;     // Last ordered.
@@ -65,7 +65,7 @@
   Time ready_since;
   std::vector<ServerId> failed_on;
   // Since when a task of a long-running step is not at work.
-  std::optional<Time> missing_since;
+  std::optional<Time> unavailable_since;
   // The scheduler ended its last run, and it is not at work again yet.
   bool displaced = false;
   // Runs that were ended since their server seemed slow or was emptied.
@@ -74,7 +74,7 @@
   Run* FindRun(RunNumber number);
   bool idle() const { return !done && runs.empty(); }
   // At work: its run has finished its start-up. Of a long-running step.
-  bool at_work() const;
+  bool is_available() const;
 };
 
 struct Occurrence {
@@ -91,7 +91,7 @@
   JobSpec spec;
   JobState state = JobState::kQueued;
   // What has been stored; callers are shown this.
-  JobState shown = JobState::kQueued;
+  JobState reported_state = JobState::kQueued;
   bool begun = false;  // A task has started.
   Time arrived;
   Time objective;  // To be completed by then. Of a job without times.
@@ -105,8 +105,8 @@
   bool definition_stored = true;
   bool definition_dropped = false;
 
-  // What is left of the job, as of `measured_at` changes.
-  uint64_t measured_at = UINT64_MAX;
+  // What is left of the job, as of `remaining_as_of_change` changes.
+  uint64_t remaining_as_of_change = UINT64_MAX;
   Duration remaining_chain{};
   double remaining_work = 0;  // Core-seconds.
 
--- a/radishmoor/jobs/messages.h
+++ b/radishmoor/jobs/messages.h
@@ -47,21 +47,21 @@
 // `acknowledged`, and lists runs and ends. The lease never gets shorter, so a
 // late one has no effect. `wait` lets the server hold the answer until a run
 // ends.
-struct ExtendLease {
+struct PollServer {
   ServerMillis lease_until = 0;  // 0: the lease stays.
   uint64_t acknowledged = 0;
   Duration wait{};
 };
 
 // Sets the share of its speed at which a run works. The latest answer wins; the
-// share is compared again at each look.
+// share is compared again at each poll.
 struct PaceRun {
   TaskId task;
   RunNumber run = 0;
   uint32_t percent = 100;
 };
 
-using ServerOrder = std::variant<StartRun, StopRun, ExtendLease, PaceRun>;
+using ServerOrder = std::variant<StartRun, StopRun, PollServer, PaceRun>;
 
 struct OrderToServer {
   uint64_t tag = 0;
@@ -78,18 +78,18 @@
   kTooLate,   // The lease that the order names has passed.
   kNoRoom,
   kBadTicket,
-  kRefused,     // The order is malformed for the server.
-  kUnhealthy,   // The server did nothing.
-  kOtherLife,   // Another backend server is at this address.
-  kNotSent,     // No connection: the order did not reach the server.
-  kUnanswered,  // The order may be carried out, now or later.
+  kRefused,           // The order is malformed for the server.
+  kUnhealthy,         // The server did nothing.
+  kOtherIncarnation,  // Another backend server is at this address.
+  kNotSent,           // No connection: the order did not reach the server.
+  kUnanswered,        // The order may be carried out, now or later.
 };
 
 enum class RunEnd : uint8_t {
   kDone,
   kFailed,
   kStopped,
-  kLeaseLapsed,
+  kLeaseExpired,
   kGangBroken,  // Another member of the gang ended.
   kGangAlone,   // The other members did not come in time.
 };
@@ -117,15 +117,15 @@
   ServerId server;
   OrderOutcome outcome = OrderOutcome::kUnanswered;
   std::optional<ServerMillis> clock;  // When the answer was written.
-  std::optional<WallMillis> born;
-  // Answers to ExtendLease.
+  std::optional<WallMillis> incarnation_started_at;
+  // Answers to PollServer.
   std::vector<RunningTask> running;
   std::vector<EndedRun> ended;
 };
 
 // Asks the placement adviser which servers may run the tasks of a step. A lost
 // answer is asked for again.
-struct AskAdvice {
+struct PlacementAdviceRequest {
   uint64_t tag = 0;
   JobId job;
   uint32_t occurrence = 0;
@@ -133,15 +133,15 @@
   std::vector<ServerId> servers;
 };
 
-struct Admission {
+struct AdmittedServer {
   ServerId server;
   std::string ticket;
 };
 
-struct AdviceReply {
+struct PlacementAdviceReply {
   uint64_t tag = 0;
   bool answered = false;
-  std::vector<Admission> admitted;
+  std::vector<AdmittedServer> admitted;
   Duration valid{};
 };
 
@@ -157,18 +157,19 @@
 };
 
 // Waits for what operators change: the configuration and maintenance waves.
-struct FollowOperators {
+struct WatchOperatorChanges {
   uint64_t tag = 0;
   RowVersion after = 0;  // 0: read all that is there.
   Duration wait{};
 };
 
-struct OperatorsReply {
+struct OperatorChanges {
   uint64_t tag = 0;
   // With false the next call must read all: the changes since `after` are not
   // known.
   bool answered = false;
-  bool history_gone = false;  // The store answered that it has dropped them.
+  bool history_truncated =
+      false;  // The store answered that it has dropped them.
   RowVersion version = 0;
   std::optional<JobConfig> config;
   std::vector<MaintenanceWave> waves;
@@ -242,7 +243,7 @@
 };
 
 // An owner announces itself to all processes.
-struct OwnerBeat {
+struct OwnerHeartbeat {
   PoolId pool;
   FencingToken token = 0;
   RowVersion lease_version = 0;
@@ -256,13 +257,13 @@
   double offered_cores = 0;
   double capacity_cores = 0;
   uint32_t servers = 0;  // In use.
-  // Of these, without an answer to the last look.
+  // Of these, without an answer to the last poll.
   uint32_t silent_servers = 0;
   // Zones with more silent servers than answering ones.
   std::vector<ZoneId> silent_zones;
   uint32_t min_servers = 0;  // Long-running tasks need as many.
   // Servers that can be emptied soon, those with the least work first. Only the
-  // keeper is told.
+  // coordinator is told.
   std::vector<ServerId> spare_servers;
 };
 
@@ -321,7 +322,7 @@
   FencingToken token = 0;
 };
 
-using JobPeerMessage = std::variant<OwnerBeat,
+using JobPeerMessage = std::variant<OwnerHeartbeat,
                                     JobNotice,
                                     JobQuery,
                                     JobAnswer,
@@ -376,7 +377,7 @@
   kUncertain,    // The job may be stored; a repeat finds out.
 };
 
-struct AnswerCall {
+struct JobCallAnswer {
   JobCallId id = 0;
   CallOutcome outcome = CallOutcome::kUnavailable;
   JobState state = JobState::kQueued;
@@ -384,7 +385,7 @@
   Duration retry_after{};
   std::string detail;  // For a refusal: why.
   // Another process may be able to serve the caller, who should connect anew.
-  bool connect_anew = false;
+  bool reconnect_elsewhere = false;
 };
 
 // A decision for the log: a fixed event name and its inputs.
@@ -403,13 +404,13 @@
 
 using JobAction = std::variant<StoreCall,
                                OrderToServer,
-                               AskAdvice,
+                               PlacementAdviceRequest,
                                ListServers,
-                               FollowOperators,
+                               WatchOperatorChanges,
                                HostCall,
                                ReportWave,
                                SendJobPeer,
-                               AnswerCall,
+                               JobCallAnswer,
                                Decision,
                                EndJobProcess>;
 
--- a/radishmoor/jobs/node_core.cc
+++ b/radishmoor/jobs/node_core.cc
@@ -11,9 +11,9 @@
 constexpr Duration kOperatorsWait = Milliseconds(450);
 constexpr Duration kFullReadPeriod = Seconds(5);
 constexpr Duration kOperatorsRetry = Milliseconds(150);
-constexpr Duration kBeatPeriod = Milliseconds(300);
-// Between announcements the keeper hears of a rise by this factor and so many
-// cores.
+constexpr Duration kOwnerHeartbeatPeriod = Milliseconds(300);
+// Between announcements the coordinator hears of a rise by this factor and so
+// many cores.
 constexpr double kRiseFactor = 1.25;
 constexpr double kRiseCores = 24;
 constexpr Duration kRiseGap = Milliseconds(60);
@@ -50,7 +50,8 @@
   Time earlier = lease.renewed_before + lease.earlier_leases;
   if (lease.released)
     return std::max(earlier, lease.sent + length);
-  return std::max(earlier, lease.renewed_before + kUnrenewedExtension + length);
+  return std::max(earlier,
+                  lease.renewed_before + kUnrenewedLeaseExtension + length);
 }
 
 }  // namespace
@@ -58,24 +59,25 @@
 NodeCore::NodeCore(const NodeOptions& options)
     : options_(options),
       leases_(options.name, options.address, options.capacity),
-      intake_(options.name, options.incarnation, leases_) {}
+      request_handler_(options.name, options.incarnation, leases_) {}
 
 void NodeCore::Start(Time now, WallMillis wall) {
-  outbox_.Log("process-started",
-              {{"node", options_.name.str()},
-               {"zone", options_.zone.str()},
-               {"address", options_.address},
-               {"incarnation", static_cast<int64_t>(options_.incarnation)}});
+  outbox_.LogDecision(
+      "process-started",
+      {{"node", options_.name.str()},
+       {"zone", options_.zone.str()},
+       {"address", options_.address},
+       {"incarnation", static_cast<int64_t>(options_.incarnation)}});
   Settle(now, wall);
 }
 
 void NodeCore::OnCall(Time now, WallMillis wall, JobCall call) {
-  intake_.OnCall(now, wall, std::move(call), outbox_);
+  request_handler_.OnCall(now, wall, std::move(call), outbox_);
   Settle(now, wall);
 }
 
 void NodeCore::OnAbandoned(Time now, WallMillis wall, JobCallId call) {
-  intake_.OnAbandoned(call);
+  request_handler_.OnAbandoned(call);
   Settle(now, wall);
 }
 
@@ -92,7 +94,7 @@
     nodes_tag_ = 0;
     if (const auto* rows = std::get_if<RowsReply>(&answer.reply))
       OnNodes(now, rows->rows);
-  } else if (!intake_.OnStoreAnswer(now, answer, outbox_) &&
+  } else if (!request_handler_.OnStoreAnswer(now, answer, outbox_) &&
              !leases_.OnStoreAnswer(now, answer, outbox_) &&
              (fleet_ == nullptr || !fleet_->OnStoreAnswer(now, answer))) {
     for (auto& [pool, scheduler] : schedulers_) {
@@ -127,13 +129,13 @@
   Settle(now, wall);
 }
 
-void NodeCore::OnOperators(Time now,
-                           WallMillis wall,
-                           const OperatorsReply& reply) {
+void NodeCore::OnOperatorChanges(Time now,
+                                 WallMillis wall,
+                                 const OperatorChanges& reply) {
   if (operators_tag_ != reply.tag)
     return;
   operators_tag_ = 0;
-  if (reply.answered || !reply.history_gone)
+  if (reply.answered || !reply.history_truncated)
     NoteStore(now, reply.answered);
   if (!reply.answered) {
     operators_version_ = 0;
@@ -144,18 +146,19 @@
   operators_version_ = reply.version;
   if (reply.config && reply.config->version > config_.version) {
     config_ = *reply.config;
-    outbox_.Log("config-in-force",
-                {{"version", static_cast<int64_t>(config_.version)},
-                 {"queues", static_cast<int64_t>(config_.queues.size())},
-                 {"pools", static_cast<int64_t>(config_.pools.size())}});
-    intake_.OnConfig(now, config_);
+    outbox_.LogDecision(
+        "config-in-force",
+        {{"version", static_cast<int64_t>(config_.version)},
+         {"queues", static_cast<int64_t>(config_.queues.size())},
+         {"pools", static_cast<int64_t>(config_.pools.size())}});
+    request_handler_.OnConfig(now, config_);
     for (auto& [pool, scheduler] : schedulers_)
       scheduler->OnConfig(config_);
     if (fleet_ != nullptr)
       fleet_->OnConfig(config_);
     leases_.Watch(now, WatchedPools());
   }
-  std::vector<KnownWave> waves;
+  std::vector<ObservedWave> waves;
   for (const MaintenanceWave& wave : reply.waves) {
     auto [it, inserted] = waves_.try_emplace(wave.number);
     it->second.plan = wave;
@@ -185,7 +188,9 @@
   Settle(now, wall);
 }
 
-void NodeCore::OnAdvice(Time now, WallMillis wall, const AdviceReply& reply) {
+void NodeCore::OnAdvice(Time now,
+                        WallMillis wall,
+                        const PlacementAdviceReply& reply) {
   for (auto& [pool, scheduler] : schedulers_) {
     if (scheduler->OnAdvice(now, reply))
       break;
@@ -205,7 +210,7 @@
 }
 
 void NodeCore::Resumed(Time now, WallMillis wall) {
-  outbox_.Log("process-resumed", {});
+  outbox_.LogDecision("process-resumed", {});
   for (auto& [pool, scheduler] : schedulers_)
     scheduler->Resumed();
   Settle(now, wall);
@@ -214,8 +219,8 @@
 void NodeCore::Shutdown(Time now, WallMillis wall) {
   if (!shutdown_) {
     shutdown_ = now;
-    outbox_.Log("process-stopping",
-                {{"pools", static_cast<int64_t>(schedulers_.size())}});
+    outbox_.LogDecision("process-stopping",
+                        {{"pools", static_cast<int64_t>(schedulers_.size())}});
     leases_.StopAcquiring();
     for (auto& [pool, scheduler] : schedulers_)
       scheduler->Release(MemberId());
@@ -245,21 +250,21 @@
     auto it = schedulers_.find(pool);
     return it == schedulers_.end() ? nullptr : it->second.get();
   };
-  if (const auto* beat = std::get_if<OwnerBeat>(&message)) {
-    leases_.OnBeat(now, from, address, *beat);
-    ObserveDemand(now, *beat);
+  if (const auto* heartbeat = std::get_if<OwnerHeartbeat>(&message)) {
+    leases_.OnOwnerHeartbeat(now, from, address, *heartbeat);
+    ObserveDemand(now, *heartbeat);
   } else if (const auto* notice = std::get_if<JobNotice>(&message)) {
     if (PoolScheduler* scheduler = find(notice->pool))
       scheduler->OnJobNotice(now, from, address, *notice, outbox_);
     else if (notice->request != 0)
-      outbox_.Send(from, address, JobAnswer{notice->request});
+      outbox_.SendToPeer(from, address, JobAnswer{notice->request});
   } else if (const auto* query = std::get_if<JobQuery>(&message)) {
     if (PoolScheduler* scheduler = find(query->pool))
       scheduler->OnJobQuery(now, from, address, *query, outbox_);
     else
-      outbox_.Send(from, address, JobAnswer{query->request});
+      outbox_.SendToPeer(from, address, JobAnswer{query->request});
   } else if (const auto* answer = std::get_if<JobAnswer>(&message)) {
-    intake_.OnJobAnswer(now, *answer, outbox_);
+    request_handler_.OnJobAnswer(now, *answer, outbox_);
   } else if (const auto* request = std::get_if<VacateRequest>(&message)) {
     if (PoolScheduler* scheduler = find(request->pool))
       scheduler->OnVacateRequest(now, from, address, *request, outbox_);
@@ -284,7 +289,7 @@
 // Ownership.
 
 std::vector<PoolId> NodeCore::WatchedPools() const {
-  std::vector<PoolId> pools{PoolId(kFleetPool)};
+  std::vector<PoolId> pools{PoolId(kFleetPseudoPool)};
   for (const PoolConfig& pool : config_.pools) {
     bool used = std::any_of(
         config_.queues.begin(), config_.queues.end(),
@@ -297,8 +302,8 @@
 
 void NodeCore::TakeOver(Time now) {
   for (const AcquiredLease& lease : leases_.TakeAcquired()) {
-    if (lease.pool.str() == kFleetPool) {
-      FleetKeeperOptions options;
+    if (lease.pool.str() == kFleetPseudoPool) {
+      FleetCoordinatorOptions options;
       options.node = options_.name;
       options.address = options_.address;
       options.bounds = options_.bounds;
@@ -306,9 +311,9 @@
       options.lease_version = lease.version;
       options.lease_taken = lease.sent;
       options.first_owner = lease.first_owner;
-      fleet_ = std::make_unique<FleetKeeper>(options, forecast_, outbox_);
+      fleet_ = std::make_unique<FleetCoordinator>(options, forecast_, outbox_);
       fleet_->OnConfig(config_);
-      std::vector<KnownWave> waves;
+      std::vector<ObservedWave> waves;
       for (const auto& [number, wave] : waves_)
         waves.push_back(wave);
       fleet_->OnWaves(waves, outbox_);
@@ -326,7 +331,7 @@
           std::make_unique<PoolScheduler>(options, config_, outbox_);
       next_servers_ = now;
     }
-    next_beat_ = now;
+    next_owner_heartbeat_ = now;
   }
 }
 
@@ -336,50 +341,50 @@
       ++it;
       continue;
     }
-    OwnerBeat beat = it->second->Beat(now);
+    OwnerHeartbeat heartbeat = it->second->MakeHeartbeat(now);
     bool released = it->second->released();
-    outbox_.Log(released ? "pool-released" : "pool-lost",
-                {{"pool", it->first.str()},
-                 {"token", static_cast<int64_t>(it->second->token())}});
+    outbox_.LogDecision(released ? "pool-released" : "pool-lost",
+                        {{"pool", it->first.str()},
+                         {"token", static_cast<int64_t>(it->second->token())}});
     if (released)
-      Announce(now, beat);
-    beat.released = true;
-    intake_.SetLocalBeat(beat, now);
+      Announce(now, heartbeat);
+    heartbeat.released = true;
+    request_handler_.SetLocalHeartbeat(heartbeat, now);
     leases_.SetOwned(now, it->first, false);
     it = schedulers_.erase(it);
   }
   if (fleet_ != nullptr && (fleet_->lost() || fleet_->released())) {
     if (fleet_->released())
-      Announce(now, fleet_->Beat(now));
-    leases_.SetOwned(now, PoolId(kFleetPool), false);
+      Announce(now, fleet_->MakeHeartbeat(now));
+    leases_.SetOwned(now, PoolId(kFleetPseudoPool), false);
     fleet_.reset();
   }
 }
 
-void NodeCore::Announce(Time now, const OwnerBeat& beat) {
-  const PoolOwner* keeper = leases_.OwnerOf(PoolId(kFleetPool));
-  OwnerBeat brief = beat;
+void NodeCore::Announce(Time now, const OwnerHeartbeat& heartbeat) {
+  const PoolOwner* coordinator = leases_.OwnerOf(PoolId(kFleetPseudoPool));
+  OwnerHeartbeat brief = heartbeat;
   brief.spare_servers.clear();
   for (const auto& [name, node] : nodes_) {
     if (name == options_.name || node.row.leaving ||
         now - node.changed >= kNodeExpiry)
       continue;
-    bool keeps = keeper != nullptr && keeper->node == name;
-    outbox_.Send(name, node.row.address, keeps ? beat : brief);
+    bool keeps = coordinator != nullptr && coordinator->node == name;
+    outbox_.SendToPeer(name, node.row.address, keeps ? heartbeat : brief);
   }
 }
 
-void NodeCore::ObserveDemand(Time now, const OwnerBeat& beat) {
-  if (beat.released || beat.servers == 0)
+void NodeCore::ObserveDemand(Time now, const OwnerHeartbeat& heartbeat) {
+  if (heartbeat.released || heartbeat.servers == 0)
     return;
-  forecast_.Observe(now, beat.pool, beat.offered_cores,
-                    beat.capacity_cores / beat.servers);
+  forecast_.Observe(now, heartbeat.pool, heartbeat.offered_cores,
+                    heartbeat.capacity_cores / heartbeat.servers);
 }
 
 void NodeCore::AnnounceRise(Time now) {
-  const PoolOwner* keeper = leases_.OwnerOf(PoolId(kFleetPool));
-  // A keeper in this process asks the pools itself.
-  if (fleet_ != nullptr || keeper == nullptr)
+  const PoolOwner* coordinator = leases_.OwnerOf(PoolId(kFleetPseudoPool));
+  // A coordinator in this process asks the pools itself.
+  if (fleet_ != nullptr || coordinator == nullptr)
     return;
   for (const auto& [pool, scheduler] : schedulers_) {
     AnnouncedNeed& announced = announced_needs_[pool];
@@ -388,49 +393,50 @@
     if (!rose || now - announced.at < kRiseGap)
       continue;
     announced = {cores, now};
-    outbox_.Send(keeper->node, keeper->address, scheduler->Beat(now));
+    outbox_.SendToPeer(coordinator->node, coordinator->address,
+                       scheduler->MakeHeartbeat(now));
   }
 }
 
-void NodeCore::SendBeats(Time now) {
+void NodeCore::SendOwnerHeartbeats(Time now) {
   if (!HasOwned())
     return;
-  if (now < next_beat_) {
-    Wake(next_beat_);
+  if (now < next_owner_heartbeat_) {
+    Wake(next_owner_heartbeat_);
     return;
   }
-  next_beat_ = now + kBeatPeriod;
-  Wake(next_beat_);
+  next_owner_heartbeat_ = now + kOwnerHeartbeatPeriod;
+  Wake(next_owner_heartbeat_);
   for (const auto& [pool, scheduler] : schedulers_) {
-    OwnerBeat beat = scheduler->Beat(now);
-    intake_.SetLocalBeat(beat, now);
-    ObserveDemand(now, beat);
+    OwnerHeartbeat heartbeat = scheduler->MakeHeartbeat(now);
+    request_handler_.SetLocalHeartbeat(heartbeat, now);
+    ObserveDemand(now, heartbeat);
     announced_needs_[pool] = {scheduler->needed_cores(now), now};
-    Announce(now, beat);
+    Announce(now, heartbeat);
   }
   if (fleet_ != nullptr)
-    Announce(now, fleet_->Beat(now));
+    Announce(now, fleet_->MakeHeartbeat(now));
 }
 
-std::map<PoolId, PoolContact> NodeCore::Contacts(Time now) const {
+std::map<PoolId, PoolOwnerContact> NodeCore::Contacts(Time now) const {
   constexpr Duration kMaxAge = Milliseconds(1500);
-  std::map<PoolId, PoolContact> contacts;
+  std::map<PoolId, PoolOwnerContact> contacts;
   for (const PoolConfig& pool : config_.pools) {
     auto own = schedulers_.find(pool.id);
     const PoolOwner* owner = leases_.OwnerOf(pool.id);
-    OwnerBeat beat;
-    PoolContact contact;
+    OwnerHeartbeat heartbeat;
+    PoolOwnerContact contact;
     if (own != schedulers_.end()) {
       contact.node = options_.name;
-      beat = own->second->Beat(now);
-    } else if (owner != nullptr && now - owner->heard < kMaxAge) {
+      heartbeat = own->second->MakeHeartbeat(now);
+    } else if (owner != nullptr && now - owner->last_heartbeat_at < kMaxAge) {
       contact.node = owner->node;
       contact.address = owner->address;
-      beat = owner->beat;
+      heartbeat = owner->heartbeat;
     } else {
       continue;
     }
-    contact.beat = std::move(beat);
+    contact.heartbeat = std::move(heartbeat);
     contacts[pool.id] = std::move(contact);
   }
   return contacts;
@@ -446,7 +452,7 @@
   return now >= at;
 }
 
-void NodeCore::FollowOperators(Time now) {
+void NodeCore::WatchOperatorChanges(Time now) {
   if (!IsDue(now, operators_tag_, operators_retry_))
     return;
   // A reading of all that is there, now and then, finds what the changes left
@@ -455,7 +461,7 @@
     next_full_read_ = now + kFullReadPeriod;
     operators_version_ = 0;
   }
-  operators_tag_ = outbox_.Operators(operators_version_, kOperatorsWait);
+  operators_tag_ = outbox_.WatchOperators(operators_version_, kOperatorsWait);
 }
 
 void NodeCore::RegisterNode(Time now) {
@@ -465,7 +471,7 @@
               options_.incarnation, shutdown_.has_value(), options_.capacity};
   Transaction transaction;
   transaction.writes.push_back({NodeKey(options_.name), EncodeNode(row)});
-  register_tag_ = outbox_.Store(CommitRows{std::move(transaction)});
+  register_tag_ = outbox_.CallStore(CommitRows{std::move(transaction)});
 }
 
 void NodeCore::ScanNodes(Time now) {
@@ -474,7 +480,7 @@
   next_nodes_ = now + (nodes_.size() < 2 ? kFirstNodesPeriod : kNodesPeriod);
   ScanRows scan;
   scan.prefix = NodeKey(MemberId());
-  nodes_tag_ = outbox_.Store(std::move(scan));
+  nodes_tag_ = outbox_.CallStore(std::move(scan));
 }
 
 void NodeCore::OnNodes(Time now, const std::vector<Row>& rows) {
@@ -482,7 +488,7 @@
   for (const Row& row : rows) {
     std::optional<NodeRow> decoded = DecodeNode(row.value);
     if (!decoded) {
-      outbox_.Log("row-unreadable", {{"key", row.key}});
+      outbox_.LogDecision("row-unreadable", {{"key", row.key}});
       continue;
     }
     Node& node = nodes_[decoded->name];
@@ -507,27 +513,27 @@
       kServersPeriodPerServer * static_cast<int64_t>(servers_.size()),
       kServersPeriod, kMaxServersPeriod);
   next_servers_ = now + (short_of ? kShortServersPeriod : period);
-  servers_tag_ = outbox_.Servers();
+  servers_tag_ = outbox_.RequestServerList();
 }
 
 void NodeCore::NoteStore(Time now, bool answered) {
   if (answered) {
     if (store_lost_logged_) {
-      outbox_.Log(
+      outbox_.LogDecision(
           "store-regained",
           {{"silent_ms", WholeMilliseconds(now - *store_silent_since_)}});
     }
     store_silent_since_.reset();
-    intake_.SetStoreLost(false);
+    request_handler_.SetStoreLost(false);
     store_lost_logged_ = false;
     return;
   }
   if (!store_silent_since_)
     store_silent_since_ = now;
-  intake_.SetStoreLost(now - *store_silent_since_ > kStoreLost);
+  request_handler_.SetStoreLost(now - *store_silent_since_ > kStoreLost);
   if (!store_lost_logged_ && now - *store_silent_since_ > kStoreLost) {
     store_lost_logged_ = true;
-    outbox_.Log("store-lost", {});
+    outbox_.LogDecision("store-lost", {});
   }
 }
 
@@ -539,7 +545,7 @@
     return;
   next_hosts_ = now + kHostsPeriod;
   hosts_sent_ = now;
-  hosts_tag_ = outbox_.Host(0, radishmoor::ListHosts{});
+  hosts_tag_ = outbox_.CallHostApi(0, radishmoor::ListHosts{});
 }
 
 void NodeCore::TickShutdown(Time now) {
@@ -547,15 +553,15 @@
     return;
   Duration stopping = now - *shutdown_;
   Duration limit = options_.grace - kEndMargin;
-  bool unanswered = intake_.open_calls() > 0;
+  bool unanswered = request_handler_.open_calls() > 0;
   if (stopping >= limit)
-    intake_.EndCalls(outbox_);
+    request_handler_.EndCalls(outbox_);
   bool served = stopping >= kServeAfterStop && !unanswered && !HasOwned();
   bool over = stopping >= limit && !unanswered;
   if (served || over || stopping >= limit + kLastAnswersTime) {
     ended_ = true;
-    outbox_.Log("process-ended", {});
-    outbox_.End();
+    outbox_.LogDecision("process-ended", {});
+    outbox_.EndProcess();
     return;
   }
   Wake(now + Milliseconds(50));
@@ -571,19 +577,19 @@
     last_fleet_tick_ = now;
     fleet_->Tick(now, Contacts(now), outbox_);
   }
-  intake_.Tick(now, outbox_);
-  SendBeats(now);
+  request_handler_.Tick(now, outbox_);
+  SendOwnerHeartbeats(now);
   AnnounceRise(now);
   DeliverLocal(now);
   DropLost(now);
-  FollowOperators(now);
+  WatchOperatorChanges(now);
   RegisterNode(now);
   ScanNodes(now);
   ReadServers(now);
   ListHosts(now);
   TickShutdown(now);
   Wake(leases_.next_wake());
-  Wake(intake_.next_wake());
+  Wake(request_handler_.next_wake());
   for (auto& [pool, scheduler] : schedulers_)
     Wake(scheduler->next_wake());
   if (fleet_ != nullptr)
--- a/radishmoor/jobs/node_core.h
+++ b/radishmoor/jobs/node_core.h
@@ -1,5 +1,6 @@
 // One process of the job scheduler without its input and output: takes callers'
-// requests, and owns pools and the fleet's duties as leases come to it.
+// requests, and owns pools and the fleet's host operations as leases come to
+// it.
 //
 //   NodeCore core(options);
 //   core.Start(now, wall);
@@ -19,9 +20,9 @@
 #include <string>
 #include <vector>
 
-#include "radishmoor/jobs/fleet_keeper.h"
-#include "radishmoor/jobs/intake.h"
-#include "radishmoor/jobs/peer_frames.h"
+#include "radishmoor/jobs/fleet_coordinator.h"
+#include "radishmoor/jobs/job_peer_codec.h"
+#include "radishmoor/jobs/job_request_handler.h"
 #include "radishmoor/jobs/pool_leases.h"
 #include "radishmoor/jobs/pool_scheduler.h"
 
@@ -34,7 +35,7 @@
   uint64_t incarnation = 0;
   // Share of a processor, in thousandths: larger hosts take pools first.
   uint32_t capacity = 0;
-  JobBounds bounds;
+  PlatformBounds bounds;
   // From the signal to stop until the process must have ended.
   Duration grace = Seconds(6);
 };
@@ -49,9 +50,11 @@
   void OnStoreAnswer(Time now, WallMillis wall, const StoreAnswer& answer);
   void OnServerReply(Time now, WallMillis wall, const ServerReply& reply);
   void OnServers(Time now, WallMillis wall, const ServersReply& reply);
-  void OnOperators(Time now, WallMillis wall, const OperatorsReply& reply);
+  void OnOperatorChanges(Time now,
+                         WallMillis wall,
+                         const OperatorChanges& reply);
   void OnHostReply(Time now, WallMillis wall, const HostReply& reply);
-  void OnAdvice(Time now, WallMillis wall, const AdviceReply& reply);
+  void OnAdvice(Time now, WallMillis wall, const PlacementAdviceReply& reply);
   void OnPeer(Time now, WallMillis wall, const JobPeerEnvelope& envelope);
   void Tick(Time now, WallMillis wall);
   // The process was suspended for a while that the clock does not show.
@@ -59,7 +62,7 @@
   // Hands over what the process owns and ends.
   void Shutdown(Time now, WallMillis wall);
 
-  std::vector<JobAction> TakeActions() { return outbox_.Take(); }
+  std::vector<JobAction> TakeActions() { return outbox_.TakeActions(); }
   Time next_wake() const { return next_wake_; }
 
   // New callers may come: without the store nothing can be accepted here, while
@@ -67,7 +70,7 @@
   bool ready(Time now) const;
   bool accepts_connections(Time now) const;
 
-  const Intake& intake() const { return intake_; }
+  const JobRequestHandler& request_handler() const { return request_handler_; }
   const std::map<PoolId, std::unique_ptr<PoolScheduler>>& pools() const {
     return schedulers_;
   }
@@ -87,15 +90,15 @@
   void DeliverLocal(Time now);
   void TakeOver(Time now);
   void DropLost(Time now);
-  void SendBeats(Time now);
-  void Announce(Time now, const OwnerBeat& beat);
-  void ObserveDemand(Time now, const OwnerBeat& beat);
-  // Tells the keeper of a pool's demand at once when it has risen.
+  void SendOwnerHeartbeats(Time now);
+  void Announce(Time now, const OwnerHeartbeat& heartbeat);
+  void ObserveDemand(Time now, const OwnerHeartbeat& heartbeat);
+  // Tells the coordinator of a pool's demand at once when it has risen.
   void AnnounceRise(Time now);
   // A call can be made: the one before is answered (`tag` is 0), and `at` has
   // come. Otherwise sees to being woken then.
   bool IsDue(Time now, uint64_t tag, Time at);
-  void FollowOperators(Time now);
+  void WatchOperatorChanges(Time now);
   void RegisterNode(Time now);
   void ScanNodes(Time now);
   void OnNodes(Time now, const std::vector<Row>& rows);
@@ -103,7 +106,7 @@
   void ListHosts(Time now);
   void NoteStore(Time now, bool answered);
   void TickShutdown(Time now);
-  std::map<PoolId, PoolContact> Contacts(Time now) const;
+  std::map<PoolId, PoolOwnerContact> Contacts(Time now) const;
   std::vector<PoolId> WatchedPools() const;
   bool HasOwned() const { return !schedulers_.empty() || fleet_ != nullptr; }
   void Wake(Time at) { next_wake_ = std::min(next_wake_, at); }
@@ -111,15 +114,16 @@
   NodeOptions options_;
   Outbox outbox_;
   JobConfig config_;
-  // With the time since when each is known, which a later keeper needs as well.
-  std::map<uint64_t, KnownWave> waves_;
+  // With the time since when each is known, which a later coordinator needs as
+  // well.
+  std::map<uint64_t, ObservedWave> waves_;
   PoolLeases leases_;
-  Intake intake_;
+  JobRequestHandler request_handler_;
   std::map<PoolId, std::unique_ptr<PoolScheduler>> schedulers_;
-  // Each process follows the demand of all pools, so that a new keeper knows
-  // whose turn is next.
-  TurnForecast forecast_;
-  std::unique_ptr<FleetKeeper> fleet_;
+  // Each process follows the demand of all pools, so that a new coordinator
+  // knows whose turn is next.
+  PeakForecast forecast_;
+  std::unique_ptr<FleetCoordinator> fleet_;
   std::map<MemberId, Node> nodes_;
 
   uint64_t operators_tag_ = 0;
@@ -138,7 +142,7 @@
   Time hosts_sent_;
   Time next_hosts_;
   Time last_fleet_tick_;
-  Time next_beat_;
+  Time next_owner_heartbeat_;
   struct AnnouncedNeed {
     double cores = 0;
     Time at;
--- a/radishmoor/jobs/outbox.cc
+++ b/radishmoor/jobs/outbox.cc
@@ -4,68 +4,69 @@
 
 namespace radishmoor {
 
-uint64_t Outbox::Store(StoreRequest request, Duration timeout) {
+uint64_t Outbox::CallStore(StoreRequest request, Duration timeout) {
   uint64_t tag = next_tag_++;
   actions_.emplace_back(StoreCall{tag, std::move(request), timeout});
   return tag;
 }
 
-uint64_t Outbox::Order(const ServerId& server,
-                       const std::string& address,
-                       FencingToken token,
-                       ServerOrder order) {
+uint64_t Outbox::SendOrder(const ServerId& server,
+                           const std::string& address,
+                           FencingToken token,
+                           ServerOrder order) {
   uint64_t tag = next_tag_++;
   actions_.emplace_back(
       OrderToServer{tag, server, address, token, std::move(order)});
   return tag;
 }
 
-uint64_t Outbox::Advice(AskAdvice ask) {
+uint64_t Outbox::RequestAdvice(PlacementAdviceRequest ask) {
   ask.tag = next_tag_++;
   uint64_t tag = ask.tag;
   actions_.emplace_back(std::move(ask));
   return tag;
 }
 
-uint64_t Outbox::Servers() {
+uint64_t Outbox::RequestServerList() {
   uint64_t tag = next_tag_++;
   actions_.emplace_back(ListServers{tag});
   return tag;
 }
 
-uint64_t Outbox::Operators(RowVersion after, Duration wait) {
+uint64_t Outbox::WatchOperators(RowVersion after, Duration wait) {
   uint64_t tag = next_tag_++;
-  actions_.emplace_back(FollowOperators{tag, after, wait});
+  actions_.emplace_back(WatchOperatorChanges{tag, after, wait});
   return tag;
 }
 
-uint64_t Outbox::Host(FencingToken token, HostRequest request) {
+uint64_t Outbox::CallHostApi(FencingToken token, HostRequest request) {
   uint64_t tag = next_tag_++;
   actions_.emplace_back(HostCall{tag, token, std::move(request)});
   return tag;
 }
 
-uint64_t Outbox::Report(uint64_t wave, bool completed) {
+uint64_t Outbox::SendWaveReport(uint64_t wave, bool completed) {
   uint64_t tag = next_tag_++;
   actions_.emplace_back(ReportWave{tag, wave, completed});
   return tag;
 }
 
-void Outbox::Send(const MemberId& to,
-                  const std::string& address,
-                  JobPeerMessage message) {
+void Outbox::SendToPeer(const MemberId& to,
+                        const std::string& address,
+                        JobPeerMessage message) {
   actions_.emplace_back(SendJobPeer{to, address, std::move(message)});
 }
 
-void Outbox::Answer(AnswerCall answer) {
+void Outbox::AnswerCaller(JobCallAnswer answer) {
   actions_.emplace_back(std::move(answer));
 }
 
-void Outbox::Log(std::string_view event, std::vector<DecisionField> fields) {
+void Outbox::LogDecision(std::string_view event,
+                         std::vector<DecisionField> fields) {
   actions_.emplace_back(Decision{event, std::move(fields)});
 }
 
-void Outbox::End() {
+void Outbox::EndProcess() {
   actions_.emplace_back(EndJobProcess{});
 }
 
@@ -81,7 +82,7 @@
   return messages;
 }
 
-std::vector<JobAction> Outbox::Take() {
+std::vector<JobAction> Outbox::TakeActions() {
   return std::exchange(actions_, {});
 }
 
--- a/radishmoor/jobs/outbox.h
+++ b/radishmoor/jobs/outbox.h
@@ -2,8 +2,8 @@
 // requests, so that the answer finds its way back.
 //
 //   Outbox outbox;
-//   uint64_t tag = outbox.Store(ReadRows{{"owner/a/lease"}});
-//   for (JobAction& action : outbox.Take()) ...
+//   uint64_t tag = outbox.CallStore(ReadRows{{"owner/a/lease"}});
+//   for (JobAction& action : outbox.TakeActions()) ...
 
 #ifndef RADISHMOOR_JOBS_OUTBOX_H_
 #define RADISHMOOR_JOBS_OUTBOX_H_
@@ -20,28 +20,28 @@
 class Outbox {
  public:
   // Requests; each returns the tag that its answer will carry.
-  uint64_t Store(StoreRequest request, Duration timeout = Duration::zero());
-  uint64_t Order(const ServerId& server,
-                 const std::string& address,
-                 FencingToken token,
-                 ServerOrder order);
-  uint64_t Advice(AskAdvice ask);
-  uint64_t Servers();
-  uint64_t Operators(RowVersion after, Duration wait);
-  uint64_t Host(FencingToken token, HostRequest request);
-  uint64_t Report(uint64_t wave, bool completed);
-
-  void Send(const MemberId& to,
-            const std::string& address,
-            JobPeerMessage message);
-  void Answer(AnswerCall answer);
-  void Log(std::string_view event, std::vector<DecisionField> fields);
-  void End();
+  uint64_t CallStore(StoreRequest request, Duration timeout = Duration::zero());
+  uint64_t SendOrder(const ServerId& server,
+                     const std::string& address,
+                     FencingToken token,
+                     ServerOrder order);
+  uint64_t RequestAdvice(PlacementAdviceRequest ask);
+  uint64_t RequestServerList();
+  uint64_t WatchOperators(RowVersion after, Duration wait);
+  uint64_t CallHostApi(FencingToken token, HostRequest request);
+  uint64_t SendWaveReport(uint64_t wave, bool completed);
+
+  void SendToPeer(const MemberId& to,
+                  const std::string& address,
+                  JobPeerMessage message);
+  void AnswerCaller(JobCallAnswer answer);
+  void LogDecision(std::string_view event, std::vector<DecisionField> fields);
+  void EndProcess();
 
   // Removes the messages to one process and returns them in their order.
   std::vector<JobPeerMessage> TakeMessagesTo(const MemberId& to);
 
-  std::vector<JobAction> Take();
+  std::vector<JobAction> TakeActions();
 
  private:
   uint64_t next_tag_ = 1;
--- a/radishmoor/jobs/turn_forecast.cc
+++ b/radishmoor/jobs/peak_forecast.cc
@@ -1,4 +1,4 @@
-#include "radishmoor/jobs/turn_forecast.h"
+#include "radishmoor/jobs/peak_forecast.h"
 
 #include <algorithm>
 #include <cstddef>
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-void TurnForecast::Observe(Time now,
+void PeakForecast::Observe(Time now,
                            const PoolId& pool,
                            double offered_cores,
                            double host_cores) {
@@ -56,14 +56,14 @@
   }
 }
 
-void TurnForecast::BeginTurn(Time now, const PoolId& pool) {
+void PeakForecast::BeginTurn(Time now, const PoolId& pool) {
   turns_.push_back({pool, now});
   if (turns_.size() > kMaxTurns)
     turns_.pop_front();
   Expect();
 }
 
-std::optional<Duration> TurnForecast::Interval() const {
+std::optional<Duration> PeakForecast::Interval() const {
   std::vector<Duration> intervals;
   for (size_t i = turns_.size(); i-- > 1 && intervals.size() < kMaxIntervals;)
     intervals.push_back(turns_[i].began - turns_[i - 1].began);
@@ -80,7 +80,7 @@
   return regular ? std::optional(median) : std::nullopt;
 }
 
-std::optional<PoolId> TurnForecast::NextPool() const {
+std::optional<PoolId> PeakForecast::NextPool() const {
   const PoolId& latest = turns_.back().pool;
   // The one that followed the latest pool before.
   for (size_t i = turns_.size() - 1; i-- > 0;) {
@@ -95,7 +95,7 @@
   return whole_round ? std::optional(turns_.front().pool) : std::nullopt;
 }
 
-void TurnForecast::Expect() {
+void PeakForecast::Expect() {
   next_.reset();
   std::optional<Duration> interval = Interval();
   std::optional<PoolId> pool = NextPool();
@@ -103,7 +103,7 @@
     next_ = Expectation{*pool, turns_.back().began + *interval};
 }
 
-double TurnForecast::ExpectedCores(Time now,
+double PeakForecast::ExpectedCores(Time now,
                                    Duration lead,
                                    const PoolId& pool) const {
   auto history = pools_.find(pool);
--- a/radishmoor/jobs/turn_forecast.h
+++ b/radishmoor/jobs/peak_forecast.h
@@ -1,6 +1,6 @@
 // Foresees which pool is in demand next when pools peak by turns.
 //
-//   TurnForecast forecast;
+//   PeakForecast forecast;
 //   forecast.Observe(now, pool, offered_cores);   // Each pool, some times a
 //                                                 // second.
 //   forecast.ExpectedCores(now, lead, pool);
@@ -12,8 +12,8 @@
 // Nothing is foreseen before the pools have had a turn each at regular
 // intervals, and nothing any more once an expected turn has not come.
 
-#ifndef RADISHMOOR_JOBS_TURN_FORECAST_H_
-#define RADISHMOOR_JOBS_TURN_FORECAST_H_
+#ifndef RADISHMOOR_JOBS_PEAK_FORECAST_H_
+#define RADISHMOOR_JOBS_PEAK_FORECAST_H_
 
 #include <deque>
 #include <map>
@@ -24,7 +24,7 @@
 
 namespace radishmoor {
 
-class TurnForecast {
+class PeakForecast {
  public:
   // `offered_cores`: what arriving work needs; `host_cores`: of a host.
   void Observe(Time now,
@@ -64,4 +64,4 @@
 
 }  // namespace radishmoor
 
-#endif  // RADISHMOOR_JOBS_TURN_FORECAST_H_
+#endif  // RADISHMOOR_JOBS_PEAK_FORECAST_H_
--- a/radishmoor/jobs/placement.cc
+++ b/radishmoor/jobs/placement.cc
@@ -50,7 +50,7 @@
   const RackId& wanted =
       step.data_rack.empty() ? task.preferred_rack : step.data_rack;
   if (!wanted.empty() && server.rack != wanted)
-    penalty += kFarWeight * (task.far_factor - 1);
+    penalty += kFarWeight * (task.remote_data_slowdown - 1);
   penalty += kSlowWeight * std::max(0.0, server.slowness - 1);
   if (server.slowness > kTooSlow)
     penalty += kTooSlowPenalty;
@@ -60,10 +60,10 @@
     penalty += kFailedBeforeWeight;
   if (step.long_running && server.long_runs > 0)
     penalty -= kGatherWeight;
-  if (step.uses_spare)
-    penalty += kSensitiveWeight * server.sensitive_runs;
+  if (step.best_effort)
+    penalty += kSensitiveWeight * server.latency_sensitive_runs;
   if (step.tail_limit > Duration::zero())
-    penalty += kSpareRunWeight * server.spare_runs;
+    penalty += kSpareRunWeight * server.best_effort_runs;
   return penalty;
 }
 
--- a/radishmoor/jobs/placement.h
+++ b/radishmoor/jobs/placement.h
@@ -59,8 +59,8 @@
   bool trusted = true;
   uint32_t same_step = 0;  // Runs of the same step and occurrence.
   // Runs with a tail limit, which tasks that use spare room would disturb.
-  uint32_t sensitive_runs = 0;
-  uint32_t spare_runs = 0;
+  uint32_t latency_sensitive_runs = 0;
+  uint32_t best_effort_runs = 0;
   uint32_t long_runs = 0;  // Of long-running steps.
   bool reserved = false;
   bool leaving_soon = false;  // Maintenance or a move comes soon.
@@ -73,7 +73,7 @@
   bool last_attempt = false;
   // Racks that hold most of the step's other tasks, for colocated steps.
   RackId preferred_rack;
-  double far_factor = 1.0;
+  double remote_data_slowdown = 1.0;
 };
 
 // Index into `servers` of the best server, or nothing if none fits. O(n).
--- a/radishmoor/jobs/advice_book.cc
+++ b/radishmoor/jobs/placement_advice_cache.cc
@@ -1,4 +1,4 @@
-#include "radishmoor/jobs/advice_book.h"
+#include "radishmoor/jobs/placement_advice_cache.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-std::map<ServerId, std::string> AdviceBook::Tickets(
+std::map<ServerId, std::string> PlacementAdviceCache::Tickets(
     Time now,
     const TaskId& task,
     std::span<const ServerId> servers,
@@ -26,7 +26,7 @@
     return advice.tickets;
   if (advice.tag != 0 || now < advice.ask_after || servers.empty())
     return {};
-  AskAdvice ask;
+  PlacementAdviceRequest ask;
   ask.job = task.job;
   ask.occurrence = task.occurrence;
   ask.step = task.step;
@@ -34,13 +34,13 @@
                      servers.begin() + static_cast<std::ptrdiff_t>(std::min(
                                            servers.size(), kMaxAsked)));
   advice.tickets.clear();
-  advice.tag = outbox.Advice(std::move(ask));
+  advice.tag = outbox.RequestAdvice(std::move(ask));
   asked_[advice.tag] = key;
   return {};
 }
 
-std::string AdviceBook::TicketFor(const TaskId& task,
-                                  const ServerId& server) const {
+std::string PlacementAdviceCache::TicketFor(const TaskId& task,
+                                            const ServerId& server) const {
   auto step = steps_.find({task.job, task.occurrence, task.step});
   if (step == steps_.end())
     return {};
@@ -48,13 +48,14 @@
   return ticket == step->second.tickets.end() ? std::string() : ticket->second;
 }
 
-void AdviceBook::Drop(const TaskId& task, const ServerId& server) {
+void PlacementAdviceCache::Drop(const TaskId& task, const ServerId& server) {
   auto step = steps_.find({task.job, task.occurrence, task.step});
   if (step != steps_.end())
     step->second.tickets.erase(server);
 }
 
-bool AdviceBook::OnReply(Time now, const AdviceReply& reply) {
+bool PlacementAdviceCache::OnReply(Time now,
+                                   const PlacementAdviceReply& reply) {
   auto asked = asked_.extract(reply.tag);
   if (asked.empty())
     return false;
@@ -68,12 +69,12 @@
   if (!reply.answered)
     return true;
   advice.valid_until = now + reply.valid;
-  for (const Admission& admission : reply.admitted)
+  for (const AdmittedServer& admission : reply.admitted)
     advice.tickets[admission.server] = admission.ticket;
   return true;
 }
 
-void AdviceBook::Forget(const JobId& job) {
+void PlacementAdviceCache::Forget(const JobId& job) {
   std::erase_if(steps_,
                 [&job](const auto& entry) { return entry.first.job == job; });
 }
--- a/radishmoor/jobs/advice_book.h
+++ b/radishmoor/jobs/placement_advice_cache.h
@@ -6,8 +6,8 @@
 // once, about as many servers as could run it, and asked for again only when
 // its tickets have run out.
 
-#ifndef RADISHMOOR_JOBS_ADVICE_BOOK_H_
-#define RADISHMOOR_JOBS_ADVICE_BOOK_H_
+#ifndef RADISHMOOR_JOBS_PLACEMENT_ADVICE_CACHE_H_
+#define RADISHMOOR_JOBS_PLACEMENT_ADVICE_CACHE_H_
 
 #include <cstdint>
 #include <map>
@@ -20,7 +20,7 @@
 
 namespace radishmoor {
 
-class AdviceBook {
+class PlacementAdviceCache {
  public:
   // The tickets of the step by server, as far as they are valid for a start
   // now. Without any, asks for them about `servers`, unless an answer is
@@ -34,7 +34,7 @@
   // The server refused the ticket.
   void Drop(const TaskId& task, const ServerId& server);
   // True if the reply was meant for this pool.
-  bool OnReply(Time now, const AdviceReply& reply);
+  bool OnReply(Time now, const PlacementAdviceReply& reply);
   // The job has ended.
   void Forget(const JobId& job);
 
@@ -58,4 +58,4 @@
 
 }  // namespace radishmoor
 
-#endif  // RADISHMOOR_JOBS_ADVICE_BOOK_H_
+#endif  // RADISHMOOR_JOBS_PLACEMENT_ADVICE_CACHE_H_
--- a/radishmoor/jobs/pool_leases.cc
+++ b/radishmoor/jobs/pool_leases.cc
@@ -44,27 +44,27 @@
   nodes_.assign(nodes.begin(), nodes.end());
 }
 
-void PoolLeases::OnBeat(Time now,
-                        const MemberId& from,
-                        const std::string& address,
-                        const OwnerBeat& beat) {
-  auto it = pools_.find(beat.pool);
+void PoolLeases::OnOwnerHeartbeat(Time now,
+                                  const MemberId& from,
+                                  const std::string& address,
+                                  const OwnerHeartbeat& heartbeat) {
+  auto it = pools_.find(heartbeat.pool);
   if (it == pools_.end() || it->second.owned)
     return;
   Watched& watched = it->second;
-  if (watched.owner && watched.owner->beat.token > beat.token)
+  if (watched.owner && watched.owner->heartbeat.token > heartbeat.token)
     return;  // From an earlier owner.
-  watched.owner = PoolOwner{from, address, now, beat};
-  if (beat.lease_version > watched.version) {
-    watched.version = beat.lease_version;
-    watched.unchanged_since = now - beat.renewed_age;
+  watched.owner = PoolOwner{from, address, now, heartbeat};
+  if (heartbeat.lease_version > watched.version) {
+    watched.version = heartbeat.lease_version;
+    watched.unchanged_since = now - heartbeat.renewed_age;
     watched.renewed_at = watched.unchanged_since;
     watched.row.reset();
     watched.read = false;
   }
-  if (beat.released) {
+  if (heartbeat.released) {
     watched.next_read = now;
-    watched.owner->heard = now - kQuietOwner;
+    watched.owner->last_heartbeat_at = now - kQuietOwner;
   }
 }
 
@@ -90,9 +90,9 @@
       continue;
     watched.take_tag = 0;
     if (const auto* done = std::get_if<CommittedReply>(&answer.reply)) {
-      outbox.Log("pool-taken",
-                 {{"pool", pool.str()},
-                  {"token", static_cast<int64_t>(watched.take_token)}});
+      outbox.LogDecision("pool-taken",
+                         {{"pool", pool.str()},
+                          {"token", static_cast<int64_t>(watched.take_token)}});
       OnTaken(now, pool, watched,
               done->versions.empty() ? 0 : done->versions.front());
     } else {
@@ -210,9 +210,9 @@
                           const PoolId& pool,
                           Watched& watched,
                           Outbox& outbox) {
-  if (watched.owner && !watched.owner->beat.released) {
-    Duration quiet = now - watched.owner->heard;
-    Duration unrenewed = quiet + watched.owner->beat.renewed_age;
+  if (watched.owner && !watched.owner->heartbeat.released) {
+    Duration quiet = now - watched.owner->last_heartbeat_at;
+    Duration unrenewed = quiet + watched.owner->heartbeat.renewed_age;
     if (quiet < kQuietOwner && unrenewed < kUnrenewedOwner) {
       watched.next_read = now;
       Wake(now + std::min(kQuietOwner - quiet, kUnrenewedOwner - unrenewed));
@@ -247,7 +247,7 @@
   watched.next_read = now + kReadPeriod;
   watched.read_sent = now;
   watched.read_tag =
-      outbox.Store(ReadRows{{OwnerLeaseKey(pool)}}, kReadTimeout);
+      outbox.CallStore(ReadRows{{OwnerLeaseKey(pool)}}, kReadTimeout);
   Wake(watched.next_read);
 }
 
@@ -272,8 +272,8 @@
   transaction.expects.push_back({OwnerLeaseKey(pool), watched.version});
   transaction.writes.push_back({OwnerLeaseKey(pool), EncodeLease(lease)});
   watched.take_tag =
-      outbox.Store(CommitRows{std::move(transaction)}, kTakeTimeout);
-  outbox.Log(
+      outbox.CallStore(CommitRows{std::move(transaction)}, kTakeTimeout);
+  outbox.LogDecision(
       "pool-lease-expired",
       {{"pool", pool.str()},
        {"version", static_cast<int64_t>(watched.version)},
--- a/radishmoor/jobs/pool_leases.h
+++ b/radishmoor/jobs/pool_leases.h
@@ -26,8 +26,8 @@
 struct PoolOwner {
   MemberId node;
   std::string address;
-  Time heard;  // Its last announcement.
-  OwnerBeat beat;
+  Time last_heartbeat_at;  // Its last announcement.
+  OwnerHeartbeat heartbeat;
 };
 
 struct AcquiredLease {
@@ -60,10 +60,10 @@
   void Watch(Time now, std::span<const PoolId> pools);
   void SetNodes(std::span<const LeaseCandidate> nodes);
 
-  void OnBeat(Time now,
-              const MemberId& from,
-              const std::string& address,
-              const OwnerBeat& beat);
+  void OnOwnerHeartbeat(Time now,
+                        const MemberId& from,
+                        const std::string& address,
+                        const OwnerHeartbeat& heartbeat);
   // True if the answer was meant for this object.
   bool OnStoreAnswer(Time now, const StoreAnswer& answer, Outbox& outbox);
   void Tick(Time now, Outbox& outbox);
--- a/radishmoor/jobs/pool_report.cc
+++ b/radishmoor/jobs/pool_report.cc
@@ -59,9 +59,9 @@
     if (!server.Serves(state.pool))
       continue;
     ++listed;
-    silent += server.failed_looks > 0 ? 1 : 0;
+    silent += server.failed_polls > 0 ? 1 : 0;
     emptying += server.vacating ? 1 : 0;
-    held_back += now < server.held_back_until ? 1 : 0;
+    held_back += now < server.quarantined_until ? 1 : 0;
     used += server.used.cpu_millis;
     capacity += server.listing.capacity.cpu_millis;
   }
@@ -80,7 +80,7 @@
       Field("loaded", scheduler.loaded() ? 1 : 0) +
       Field("renewed_age_ms", WholeMilliseconds(scheduler.renewed_age(now))) +
       "\n" + ServersLine(now, state);
-  for (const QueueLoad& load : scheduler.Beat(now).queues) {
+  for (const QueueLoad& load : scheduler.MakeHeartbeat(now).queues) {
     text += "queue " + load.queue.str() + Field("pending", load.pending) +
             Field("wait_ms", WholeMilliseconds(load.wait)) + "\n";
   }
--- a/radishmoor/jobs/pool_scheduler.cc
+++ b/radishmoor/jobs/pool_scheduler.cc
@@ -21,8 +21,8 @@
 // Without a renewal for this long nothing new is planned: it could not be
 // stored.
 constexpr Duration kPlanningLease = Seconds(3);
-// A new owner has looked at all servers by then.
-constexpr Duration kFirstLook = Milliseconds(400);
+// A new owner has polled all servers by then.
+constexpr Duration kFirstPollGrace = Milliseconds(400);
 // A successor does not take the lease before it was unchanged for this long.
 constexpr Duration kAnsweringLease = Milliseconds(1000);
 // A request to empty a server holds this long.
@@ -79,7 +79,7 @@
                     ? ProgressKey(state_.pool, JobId())
                 : load_.stage == LoadStage::kJobs ? JobKey(state_.pool, JobId())
                                                   : InboxPrefix(state_.pool);
-  load_.tag = outbox.Store(std::move(scan));
+  load_.tag = outbox.CallStore(std::move(scan));
 }
 
 void PoolScheduler::OnLoadAnswer(Time now,
@@ -114,14 +114,14 @@
                             WallMillis wall,
                             const Row& row,
                             Outbox& outbox) {
-  JobId id{KeyName(row.key)};
+  JobId id{LastKeyPart(row.key)};
   switch (load_.stage) {
     case LoadStage::kProgress:
       if (std::optional<StoredProgress> progress = DecodeProgress(row.value)) {
         load_.progress[id] = std::move(*progress);
       } else {
         ++state_.counters.unreadable_rows;
-        outbox.Log("row-unreadable", {{"key", row.key}});
+        outbox.LogDecision("row-unreadable", {{"key", row.key}});
       }
       break;
     case LoadStage::kJobs:
@@ -139,9 +139,9 @@
                             WallMillis wall,
                             const Row& row,
                             Outbox& outbox) {
-  JobId id{KeyName(row.key)};
+  JobId id{LastKeyPart(row.key)};
   auto stored = load_.progress.find(id);
-  if (row.value == kEndedJobMark) {
+  if (row.value == kEndedJobTombstone) {
     JobState state = stored == load_.progress.end() ? JobState::kCompleted
                                                     : stored->second.state;
     state_.jobs.AddEnded(id, state, now);
@@ -150,7 +150,7 @@
   std::optional<JobSpec> spec = DecodeJob(row.value);
   if (!spec) {
     ++state_.counters.unreadable_rows;
-    outbox.Log("row-unreadable", {{"key", row.key}});
+    outbox.LogDecision("row-unreadable", {{"key", row.key}});
     return;
   }
   Duration age = std::clamp(Milliseconds(wall - spec->submitted_at),
@@ -167,7 +167,7 @@
         state_.servers.AddRun(run.server,
                               {job.IdOf(occurrence, task), run.number},
                               job.StepOf(task).counted_request());
-        state_.servers.Find(run.server)->inherited_until =
+        state_.servers.Find(run.server)->inherited_leases_until =
             options_.earlier_leases_until;
       }
     }
@@ -178,13 +178,14 @@
   size_t inherited = 0;
   for (const auto& [id, server] : state_.servers.all())
     inherited += server.runs.size();
-  outbox.Log("pool-loaded",
-             {{"pool", state_.pool.str()},
-              {"token", static_cast<int64_t>(state_.token)},
-              {"jobs", static_cast<int64_t>(state_.jobs.size())},
-              {"open", static_cast<int64_t>(state_.jobs.open().size())},
-              {"inherited_runs", static_cast<int64_t>(inherited)},
-              {"took_ms", WholeMilliseconds(now - options_.lease_taken)}});
+  outbox.LogDecision(
+      "pool-loaded",
+      {{"pool", state_.pool.str()},
+       {"token", static_cast<int64_t>(state_.token)},
+       {"jobs", static_cast<int64_t>(state_.jobs.size())},
+       {"open", static_cast<int64_t>(state_.jobs.open().size())},
+       {"inherited_runs", static_cast<int64_t>(inherited)},
+       {"took_ms", WholeMilliseconds(now - options_.lease_taken)}});
   load_.progress.clear();
   runs_.Wake(now);
   next_inbox_ = now + kInboxPeriod;
@@ -220,12 +221,13 @@
   // Jobs of an earlier owner have shown their load before.
   if (loaded() && !spec.scheduled() && !spec.long_running())
     offered_.Add(now, dispatch_.TotalWork(job));
-  outbox.Log("job-taken-up",
-             {{"job", id.str()},
-              {"queue", spec.queue.str()},
-              {"tasks", static_cast<int64_t>(spec.tasks_per_occurrence())},
-              {"age_ms", WholeMilliseconds(age)},
-              {"objective_ms", WholeMilliseconds(job.objective - now)}});
+  outbox.LogDecision(
+      "job-taken-up",
+      {{"job", id.str()},
+       {"queue", spec.queue.str()},
+       {"tasks", static_cast<int64_t>(spec.tasks_per_occurrence())},
+       {"age_ms", WholeMilliseconds(age)},
+       {"objective_ms", WholeMilliseconds(job.objective - now)}});
 }
 
 void PoolScheduler::OnJobNotice(Time now,
@@ -236,7 +238,7 @@
   bool store = notice.request != 0;
   if (!loaded() || CheckJob(notice.spec)) {
     if (store)
-      outbox.Send(from, address, JobAnswer{notice.request});
+      outbox.SendToPeer(from, address, JobAnswer{notice.request});
     return;
   }
   if (state_.jobs.Find(notice.job) == nullptr) {
@@ -262,7 +264,7 @@
   if (IsFinal(job->state))
     return true;
   state_.jobs.MarkEnded(*job, JobState::kCancelled, now);
-  outbox.Log("job-cancelled", {{"job", id.str()}});
+  outbox.LogDecision("job-cancelled", {{"job", id.str()}});
   runs_.StopJob(now, *job, "job-cancelled", outbox);
   return true;
 }
@@ -276,14 +278,14 @@
   // Without a recent renewal another process may know better.
   bool current = loaded() && renewed_age(now) < kAnsweringLease;
   const Job* job = current ? state_.jobs.Find(query.job) : nullptr;
-  if (job != nullptr && query.cancel && !IsFinal(job->shown)) {
+  if (job != nullptr && query.cancel && !IsFinal(job->reported_state)) {
     Cancel(now, query.job, outbox);
     cancel_waiters_[query.job].push_back({from, address, query.request});
     return;
   }
   if (job != nullptr)
-    answer.state = AnswerOf(job->shown);
-  outbox.Send(from, address, answer);
+    answer.state = AnswerOf(job->reported_state);
+  outbox.SendToPeer(from, address, answer);
 }
 
 void PoolScheduler::AnswerWaiters(Outbox& outbox) {
@@ -295,16 +297,17 @@
         ++it;
         continue;
       }
-      JobAnswerState state =
-          job == nullptr ? JobAnswerState::kUnknown : AnswerOf(job->shown);
+      JobAnswerState state = job == nullptr ? JobAnswerState::kUnknown
+                                            : AnswerOf(job->reported_state);
       for (const Waiter& waiter : it->second)
-        outbox.Send(waiter.node, waiter.address,
-                    JobAnswer{waiter.request, state});
+        outbox.SendToPeer(waiter.node, waiter.address,
+                          JobAnswer{waiter.request, state});
       it = waiters.erase(it);
     }
   };
   answer(submit_waiters_, [](const Job& job) { return job.definition_stored; });
-  answer(cancel_waiters_, [](const Job& job) { return IsFinal(job.shown); });
+  answer(cancel_waiters_,
+         [](const Job& job) { return IsFinal(job.reported_state); });
 }
 
 void PoolScheduler::PollInbox(Time now, Outbox& outbox) {
@@ -315,11 +318,12 @@
     return;
   }
   next_inbox_ = now + kInboxPeriod;
-  inbox_tag_ = outbox.Store(ScanRows{InboxPrefix(state_.pool), "", kInboxPage});
+  inbox_tag_ =
+      outbox.CallStore(ScanRows{InboxPrefix(state_.pool), "", kInboxPage});
 }
 
 void PoolScheduler::OnInboxRow(Time now, const Row& row, Outbox& outbox) {
-  std::string_view name = KeyName(row.key);
+  std::string_view name = LastKeyPart(row.key);
   if (name.size() < 3 || name[1] != ':') {
     ++state_.counters.unreadable_rows;
     RemoveRow(row.key);
@@ -331,14 +335,14 @@
   if (name[0] == kInboxCancelled && known) {
     // The mark goes once the end of the job is stored; until then a successor
     // needs it.
-    if (IsFinal(job->shown))
+    if (IsFinal(job->reported_state))
       RemoveRow(row.key);
     else
       Cancel(now, id, outbox);
   } else if (known) {
     RemoveRow(row.key);
   } else if (reading_.insert(id).second) {
-    uint64_t tag = outbox.Store(ReadRows{{JobKey(state_.pool, id)}});
+    uint64_t tag = outbox.CallStore(ReadRows{{JobKey(state_.pool, id)}});
     job_reads_[tag] = id;
   }
 }
@@ -377,17 +381,20 @@
     server.listing = listing;
     server.listed = true;
     if (joined) {
-      server.next_look = now;
-      outbox.Log("server-joined", {{"server", listing.id.str()},
-                                   {"pool", listing.pool.str()},
-                                   {"cpu", listing.capacity.cpu_millis}});
+      server.next_poll_at = now;
+      outbox.LogDecision("server-joined",
+                         {{"server", listing.id.str()},
+                          {"pool", listing.pool.str()},
+                          {"cpu", listing.capacity.cpu_millis}});
     }
     if (drains)
-      outbox.Log("server-draining",
-                 {{"server", listing.id.str()},
-                  {"remaining_ms", WholeMilliseconds(listing.remaining)}});
-    if (listing.born != 0)
-      runs_.OnBorn(now, listing.id, listing.born, outbox);
+      outbox.LogDecision(
+          "server-draining",
+          {{"server", listing.id.str()},
+           {"remaining_ms", WholeMilliseconds(listing.remaining)}});
+    if (listing.incarnation_started_at != 0)
+      runs_.OnIncarnationListed(now, listing.id, listing.incarnation_started_at,
+                                outbox);
   }
   std::vector<ServerId> forgotten;
   for (auto& [id, server] : state_.servers.all()) {
@@ -397,11 +404,12 @@
     }
     if (server.unlisted_since == kTimeMax)
       server.unlisted_since = now;
-    bool answers = server.contact && now - *server.contact < kUnlistedContact;
+    bool answers = server.last_answer_at &&
+                   now - *server.last_answer_at < kUnlistedContact;
     if (server.listed &&
         (!answers || now - server.unlisted_since > kUnlistedGrace)) {
       server.listed = false;
-      outbox.Log("server-left", {{"server", id.str()}});
+      outbox.LogDecision("server-left", {{"server", id.str()}});
     }
     if (!server.listed && server.runs.empty() &&
         now - server.unlisted_since > kForgetServer)
@@ -417,8 +425,9 @@
   if (!loaded())
     return false;
   for (const auto& [id, server] : state_.servers.all()) {
-    bool silent = server.failed_looks > 0 ||
-                  (!server.contact && now - options_.lease_taken > kFirstLook);
+    bool silent = server.failed_polls > 0 ||
+                  (!server.last_answer_at &&
+                   now - options_.lease_taken > kFirstPollGrace);
     if (silent && !server.runs.empty())
       return true;
   }
@@ -433,8 +442,8 @@
   for (const HostListing& host : hosts)
     alive.insert(host.server);
   for (auto& [id, server] : state_.servers.all()) {
-    bool silent = server.failed_looks > 0 || !server.contact;
-    bool heard_later = server.contact && *server.contact >= sent;
+    bool silent = server.failed_polls > 0 || !server.last_answer_at;
+    bool heard_later = server.last_answer_at && *server.last_answer_at >= sent;
     if (!server.runs.empty() && silent && !heard_later && !alive.contains(id))
       runs_.OnServerDead(now, server, outbox);
   }
@@ -450,7 +459,7 @@
   return true;
 }
 
-bool PoolScheduler::OnAdvice(Time now, const AdviceReply& reply) {
+bool PoolScheduler::OnAdvice(Time now, const PlacementAdviceReply& reply) {
   if (!state_.advice.OnReply(now, reply))
     return false;
   plan_needed_ = true;
@@ -474,16 +483,16 @@
   if (server != nullptr) {
     if (!server->vacating) {
       server->vacating = true;
-      server->vacate_started = now;
-      outbox.Log("server-emptying",
-                 {{"server", request.server.str()},
-                  {"runs", static_cast<int64_t>(server->runs.size())}});
+      server->vacate_started_at = now;
+      outbox.LogDecision("server-emptying",
+                         {{"server", request.server.str()},
+                          {"runs", static_cast<int64_t>(server->runs.size())}});
     }
-    server->vacate_asked = now;
+    server->vacate_requested_at = now;
     answer.state =
         server->runs.empty() ? VacateState::kEmpty : VacateState::kEmptying;
   }
-  outbox.Send(from, address, answer);
+  outbox.SendToPeer(from, address, answer);
 }
 
 // Answers and time.
@@ -524,7 +533,7 @@
   if (row.version == 0) {
     // A cancellation of a job that is not stored: nothing to cancel.
     RemoveRow(InboxKey(state_.pool, kInboxCancelled, id));
-  } else if (row.value == kEndedJobMark) {
+  } else if (row.value == kEndedJobTombstone) {
     RemoveRow(InboxKey(state_.pool, kInboxCancelled, id));
     RemoveRow(InboxKey(state_.pool, kInboxSubmitted, id));
   } else {
@@ -548,7 +557,8 @@
     return;
   }
   bool may_order = !chain_.release_sent() && !chain_.released();
-  runs_.Tick(now, may_order && renewed_age(now) < kUnrenewedExtension, outbox);
+  runs_.Tick(now, may_order && renewed_age(now) < kUnrenewedLeaseExtension,
+             outbox);
   PollInbox(now, outbox);
   UpdateScheduled(now, wall);
   if (may_order && renewed_age(now) < kPlanningLease) {
@@ -556,8 +566,8 @@
       last_review_ = now;
       for (auto& [id, server] : state_.servers.all()) {
         // One that went silent while it was emptied has moved away.
-        if (server.vacating && server.failed_looks == 0 &&
-            now - server.vacate_asked > kVacateHold)
+        if (server.vacating && server.failed_polls == 0 &&
+            now - server.vacate_requested_at > kVacateHold)
           server.vacating = false;
       }
       dispatch_.Review(now, outbox);
@@ -601,26 +611,27 @@
     if (!server.Serves(state_.pool))
       continue;
     ++servers;
-    answering += server.contact && server.failed_looks == 0 ? 1 : 0;
+    answering += server.last_answer_at && server.failed_polls == 0 ? 1 : 0;
     vacating += server.vacating ? 1 : 0;
     capacity += server.listing.capacity;
     used += server.used;
   }
-  outbox.Log("pool-load",
-             {{"pool", state_.pool.str()},
-              {"servers", servers},
-              {"answering", answering},
-              {"emptying", vacating},
-              {"used_cpu", used.cpu_millis},
-              {"capacity_cpu", capacity.cpu_millis},
-              {"demand_cpu", dispatch_.demand_cpu()},
-              {"offered_cpu", static_cast<int64_t>(offered_.Cores(now) * 1000)},
-              {"open_jobs", static_cast<int64_t>(state_.jobs.open().size())},
-              {"wait_ms", WholeMilliseconds(dispatch_.expected_wait())},
-              {"starts", static_cast<int64_t>(state_.counters.starts)},
-              {"looks", static_cast<int64_t>(state_.counters.looks)},
-              {"commits", static_cast<int64_t>(state_.counters.commits)},
-              {"renewed_age_ms", WholeMilliseconds(renewed_age(now))}});
+  outbox.LogDecision(
+      "pool-load",
+      {{"pool", state_.pool.str()},
+       {"servers", servers},
+       {"answering", answering},
+       {"emptying", vacating},
+       {"used_cpu", used.cpu_millis},
+       {"capacity_cpu", capacity.cpu_millis},
+       {"demand_cpu", dispatch_.demand_cpu()},
+       {"offered_cpu", static_cast<int64_t>(offered_.Cores(now) * 1000)},
+       {"open_jobs", static_cast<int64_t>(state_.jobs.open().size())},
+       {"wait_ms", WholeMilliseconds(dispatch_.expected_wait())},
+       {"starts", static_cast<int64_t>(state_.counters.starts)},
+       {"looks", static_cast<int64_t>(state_.counters.server_polls)},
+       {"commits", static_cast<int64_t>(state_.counters.commits)},
+       {"renewed_age_ms", WholeMilliseconds(renewed_age(now))}});
 }
 
 void PoolScheduler::Release(const MemberId& successor) {
@@ -628,11 +639,11 @@
 }
 
 void PoolScheduler::Resumed() {
-  chain_.set_renewed(chain_.renewed() - kUnrenewedExtension);
+  chain_.set_renewed(chain_.renewed() - kUnrenewedLeaseExtension);
 }
 
-OwnerBeat PoolScheduler::Beat(Time now) const {
-  OwnerBeat beat = chain_.LeaseBeat(now);
+OwnerHeartbeat PoolScheduler::MakeHeartbeat(Time now) const {
+  OwnerHeartbeat heartbeat = chain_.LeaseHeartbeat(now);
   std::map<QueueId, uint32_t> pending;
   for (const JobId& id : state_.jobs.open()) {
     const Job* job = state_.jobs.Find(id);
@@ -643,12 +654,12 @@
   for (const auto& [id, queue] : state_.queues) {
     // Before the jobs are loaded nothing is known of the queues.
     if (loaded() && queue.pool == state_.pool)
-      beat.queues.push_back({id, pending[id], dispatch_.expected_wait()});
+      heartbeat.queues.push_back({id, pending[id], dispatch_.expected_wait()});
   }
-  beat.demand_cores = static_cast<double>(dispatch_.demand_cpu()) / 1000;
-  beat.offered_cores = offered_.Cores(now);
-  DescribeServers(now, beat);
-  return beat;
+  heartbeat.demand_cores = static_cast<double>(dispatch_.demand_cpu()) / 1000;
+  heartbeat.offered_cores = offered_.Cores(now);
+  DescribeServers(now, heartbeat);
+  return heartbeat;
 }
 
 double PoolScheduler::needed_cores(Time now) const {
@@ -670,18 +681,19 @@
                          kShortShare * static_cast<double>(CapacityCpu());
 }
 
-void PoolScheduler::DescribeServers(Time now, OwnerBeat& beat) const {
+void PoolScheduler::DescribeServers(Time now, OwnerHeartbeat& heartbeat) const {
   std::vector<std::pair<int64_t, ServerId>> spare;
   std::map<ZoneId, int> silence;  // Silent servers less answering ones.
   for (const auto& [id, server] : state_.servers.all()) {
     if (!server.Serves(state_.pool))
       continue;
-    ++beat.servers;
-    bool silent = server.failed_looks > 0 && server.contact &&
-                  now - *server.contact > kSilentServer && !server.vacating;
-    beat.silent_servers += silent ? 1 : 0;
+    ++heartbeat.servers;
+    bool silent = server.failed_polls > 0 && server.last_answer_at &&
+                  now - *server.last_answer_at > kSilentServer &&
+                  !server.vacating;
+    heartbeat.silent_servers += silent ? 1 : 0;
     silence[server.listing.zone] += silent ? 1 : -1;
-    beat.capacity_cores +=
+    heartbeat.capacity_cores +=
         static_cast<double>(server.listing.capacity.cpu_millis) / 1000;
     bool long_running = std::any_of(
         server.runs.begin(), server.runs.end(), [this](const RunRef& ref) {
@@ -693,20 +705,20 @@
   }
   for (const auto& [zone, balance] : silence) {
     if (balance > 0)
-      beat.silent_zones.push_back(zone);
+      heartbeat.silent_zones.push_back(zone);
   }
   std::sort(spare.begin(), spare.end());
   for (size_t i = 0; i < spare.size() && i < kMaxSpareNamed; ++i)
-    beat.spare_servers.push_back(spare[i].second);
+    heartbeat.spare_servers.push_back(spare[i].second);
   for (const JobId& id : state_.jobs.open()) {
     const Job* job = state_.jobs.Find(id);
     if (job == nullptr || IsFinal(job->state))
       continue;
     for (const StepSpec& step : job->spec.steps) {
       if (step.long_running && step.max_per_server > 0)
-        beat.min_servers =
-            std::max(beat.min_servers, (step.count + step.max_per_server - 1) /
-                                           step.max_per_server);
+        heartbeat.min_servers = std::max(
+            heartbeat.min_servers,
+            (step.count + step.max_per_server - 1) / step.max_per_server);
     }
   }
 }
--- a/radishmoor/jobs/pool_scheduler.h
+++ b/radishmoor/jobs/pool_scheduler.h
@@ -35,7 +35,7 @@
   PoolId pool;
   MemberId node;
   std::string address;
-  JobBounds bounds;
+  PlatformBounds bounds;
   // Of the lease that was taken.
   FencingToken token = 0;
   RowVersion lease_version = 0;
@@ -67,7 +67,7 @@
                      const StoreAnswer& answer,
                      Outbox& outbox);
   bool OnServerReply(Time now, const ServerReply& reply, Outbox& outbox);
-  bool OnAdvice(Time now, const AdviceReply& reply);
+  bool OnAdvice(Time now, const PlacementAdviceReply& reply);
 
   void OnJobNotice(Time now,
                    const MemberId& from,
@@ -97,7 +97,7 @@
   // shown that the pool is still owned.
   void Resumed();
 
-  OwnerBeat Beat(Time now) const;
+  OwnerHeartbeat MakeHeartbeat(Time now) const;
   // Cores that running, ready and arriving tasks need.
   double needed_cores(Time now) const;
   // Its servers do not suffice, so more may be on their way.
@@ -144,7 +144,7 @@
   // One line each second on how full the pool is.
   void LogLoad(Time now, Outbox& outbox);
   // Servers that long-running tasks need, those without any, and silent ones.
-  void DescribeServers(Time now, OwnerBeat& beat) const;
+  void DescribeServers(Time now, OwnerHeartbeat& heartbeat) const;
   int64_t CapacityCpu() const;
   Time ObjectiveOf(const JobSpec& spec, Time arrived) const;
   void UpdateScheduled(Time now, WallMillis wall);
--- a/radishmoor/jobs/pool_state.h
+++ b/radishmoor/jobs/pool_state.h
@@ -10,32 +10,32 @@
 
 #include "radishmoor/base/ids.h"
 #include "radishmoor/base/time.h"
-#include "radishmoor/jobs/advice_book.h"
 #include "radishmoor/jobs/job.h"
 #include "radishmoor/jobs/job_table.h"
 #include "radishmoor/jobs/outbox.h"
-#include "radishmoor/jobs/server_book.h"
+#include "radishmoor/jobs/placement_advice_cache.h"
+#include "radishmoor/jobs/server_table.h"
 
 namespace radishmoor {
 
 // Bounds that the platform sets. The defaults are those of a small site.
-struct JobBounds {
+struct PlatformBounds {
   // Longest lease that a backend server grants.
   Duration max_lease = Seconds(6);
   // A task away from its data takes this many times as long.
-  double far_factor = 1.5;
+  double remote_data_slowdown = 1.5;
   // States of ended jobs are kept at least this long.
   Duration status_retention = Seconds(120);
-  // Two holders of a host's duties are at least this far apart.
-  Duration duty_lease = Seconds(3);
+  // Two owners of a host's operations are at least this far apart.
+  Duration host_operation_lease = Seconds(3);
   // Calls to move or maintain hosts that the platform takes in a second.
-  double duty_rate = 64;
+  double max_host_operations_per_second = 64;
 };
 
 // How long an owner whose lease is not renewed goes on extending leases of
 // running tasks. A successor waits for it, and for the last lease, before it
 // starts tasks anew that an unreachable server may still run.
-inline constexpr Duration kUnrenewedExtension = Seconds(5);
+inline constexpr Duration kUnrenewedLeaseExtension = Seconds(5);
 
 // Observed run times of a queue, as a ratio to their estimates.
 struct QueueStats {
@@ -49,9 +49,9 @@
   uint64_t runs_done = 0;
   uint64_t runs_failed = 0;
   uint64_t runs_stopped = 0;
-  uint64_t runs_lapsed = 0;
+  uint64_t runs_lease_expired = 0;
   uint64_t runs_gang = 0;
-  uint64_t looks = 0;
+  uint64_t server_polls = 0;
   uint64_t commits = 0;
   uint64_t commits_unknown = 0;
   uint64_t relocations = 0;
@@ -60,21 +60,21 @@
 };
 
 struct JobPoolState {
-  JobPoolState(PoolId pool_id, JobBounds platform_bounds)
+  JobPoolState(PoolId pool_id, PlatformBounds platform_bounds)
       : pool(std::move(pool_id)), bounds(platform_bounds) {}
 
   // Length of the leases that this owner gives.
   Duration lease() const { return std::min(bounds.max_lease, kLease); }
 
   PoolId pool;
-  JobBounds bounds;
+  PlatformBounds bounds;
   FencingToken token = 0;
   bool standby = false;
   std::map<QueueId, QueueConfig> queues;  // All that were ever seen.
   std::map<QueueId, QueueStats> stats;
   JobTable jobs;
-  ServerBook servers;
-  AdviceBook advice;
+  ServerTable servers;
+  PlacementAdviceCache advice;
   // Runs in the phase kPlanned that no commit holds yet.
   std::map<JobId, std::vector<RunRef>> planned;
   PoolCounters counters;
--- a/radishmoor/jobs/run_control.cc
+++ b/radishmoor/jobs/run_control.cc
@@ -11,19 +11,19 @@
 namespace radishmoor {
 namespace {
 
-// A server may hold back the answer to a look this long while it runs tasks.
-// Each look renews the leases, so it is well below their length.
-constexpr Duration kBusyLookWait = Milliseconds(700);
-// Between looks at a server that runs nothing: keeps its clock known.
-constexpr Duration kIdleLookPeriod = Milliseconds(1500);
-// Between two looks at a busy server, so that ends are taken in groups; in
-// large pools it grows with the number of servers, which bounds the looks of a
+// A server may hold back the answer to a poll this long while it runs tasks.
+// Each poll renews the leases, so it is well below their length.
+constexpr Duration kBusyPollWait = Milliseconds(700);
+// Between polls of a server that runs nothing: keeps its clock known.
+constexpr Duration kIdlePollPeriod = Milliseconds(1500);
+// Between two polls of a busy server, so that ends are taken in groups; in
+// large pools it grows with the number of servers, which bounds the polls of a
 // pool.
-constexpr Duration kMinLookGap = Milliseconds(20);
-constexpr Duration kLookGapPerServer = Microseconds(800);
-// After a look without an answer.
-constexpr Duration kFailedLookDelay = Milliseconds(200);
-constexpr Duration kMaxFailedLookDelay = Milliseconds(1000);
+constexpr Duration kMinPollInterval = Milliseconds(20);
+constexpr Duration kPollIntervalPerServer = Microseconds(800);
+// After a poll without an answer.
+constexpr Duration kFailedPollDelay = Milliseconds(200);
+constexpr Duration kMaxFailedPollDelay = Milliseconds(1000);
 // A stop without an answer is repeated after this time.
 constexpr Duration kStopRepeat = Milliseconds(300);
 // Of a server's failures: held back at this score, for this time.
@@ -42,7 +42,7 @@
 // full list may have ended all the same.
 constexpr size_t kFullEndList = 500;
 
-// Runs whose state a look does not settle by itself.
+// Runs whose state a poll does not settle by itself.
 bool NeedsCare(const Run& run) {
   return run.stop_wanted || run.phase == RunPhase::kUncertain;
 }
@@ -55,7 +55,7 @@
       return "failed";
     case RunEnd::kStopped:
       return "stopped";
-    case RunEnd::kLeaseLapsed:
+    case RunEnd::kLeaseExpired:
       return "lapsed";
     case RunEnd::kGangBroken:
       return "gang-broken";
@@ -71,10 +71,11 @@
 bool HasLapsed(const Run& run, const ServerState& server, Time now) {
   if (run.phase == RunPhase::kOrdered)
     return false;
-  if (run.phase != RunPhase::kUncertain || run.start_lease == 0)
+  if (run.phase != RunPhase::kUncertain || run.start_valid_until == 0)
     return true;
-  return now - run.since > kLateOrderLimit ||
-         (server.clock.known() && server.clock.Earliest(now) > run.start_lease);
+  return now - run.phase_since > kLateOrderLimit ||
+         (server.clock.known() &&
+          server.clock.Earliest(now) > run.start_valid_until);
 }
 
 }  // namespace
@@ -102,26 +103,26 @@
   start.checkpoint = task->checkpoint;
   start.ticket = state_.advice.TicketFor(ref.task, run->server);
   server->lease_until = std::max(server->lease_until, start.lease_until);
-  run->start_lease = start.lease_until;
+  run->start_valid_until = start.lease_until;
   run->phase = RunPhase::kOrdered;
-  run->since = now;
-  run->ordered = now;
-  run->percent_changed = now;
+  run->phase_since = now;
+  run->start_sent_at = now;
+  run->progress_changed_at = now;
   ++state_.counters.starts;
   if (!job.begun) {
     job.begun = true;
     job.state = JobState::kInProgress;
     state_.jobs.Touch(job);
   }
-  uint64_t tag = outbox.Order(server->listing.id, server->listing.address,
-                              state_.token, std::move(start));
+  uint64_t tag = outbox.SendOrder(server->listing.id, server->listing.address,
+                                  state_.token, std::move(start));
   orders_[tag] = {OrderKind::kStart, run->server, ref, now};
-  outbox.Log("run-started",
-             {{"task", FormatTask(ref.task)},
-              {"run", static_cast<int64_t>(ref.run)},
-              {"server", run->server.str()},
-              {"waited_ms", WholeMilliseconds(now - task->ready_since)},
-              {"free_cpu", server->Room().cpu_millis}});
+  outbox.LogDecision("run-started",
+                     {{"task", FormatTask(ref.task)},
+                      {"run", static_cast<int64_t>(ref.run)},
+                      {"server", run->server.str()},
+                      {"waited_ms", WholeMilliseconds(now - task->ready_since)},
+                      {"free_cpu", server->Room().cpu_millis}});
 }
 
 void RunControl::RequestStop(Time now,
@@ -134,11 +135,11 @@
   if (run == nullptr || run->stop_wanted)
     return;
   run->stop_wanted = true;
-  NeedCare(now, run->server);
-  outbox.Log("run-stop", {{"task", FormatTask(task_id)},
-                          {"run", static_cast<int64_t>(number)},
-                          {"server", run->server.str()},
-                          {"reason", std::string(reason)}});
+  RequestRunCheck(now, run->server);
+  outbox.LogDecision("run-stop", {{"task", FormatTask(task_id)},
+                                  {"run", static_cast<int64_t>(number)},
+                                  {"server", run->server.str()},
+                                  {"reason", std::string(reason)}});
   if (run->phase == RunPhase::kPlanned && run->commit == 0) {
     RemoveRun(now, ref, "not-wanted", outbox);
     return;
@@ -175,13 +176,13 @@
     return;
   run->pace = percent;
   uint64_t tag =
-      outbox.Order(run->server, server->listing.address, state_.token,
-                   PaceRun{ref.task, ref.run, percent});
+      outbox.SendOrder(run->server, server->listing.address, state_.token,
+                       PaceRun{ref.task, ref.run, percent});
   orders_[tag] = {OrderKind::kPace, run->server, ref, now};
-  outbox.Log("run-paced", {{"task", FormatTask(ref.task)},
-                           {"run", static_cast<int64_t>(ref.run)},
-                           {"server", run->server.str()},
-                           {"percent", static_cast<int64_t>(percent)}});
+  outbox.LogDecision("run-paced", {{"task", FormatTask(ref.task)},
+                                   {"run", static_cast<int64_t>(ref.run)},
+                                   {"server", run->server.str()},
+                                   {"percent", static_cast<int64_t>(percent)}});
 }
 
 void RunControl::SendStop(Time now,
@@ -191,8 +192,8 @@
   ServerState* server = state_.servers.Find(run.server);
   if (server == nullptr || server->listing.address.empty() || run.stop_tag != 0)
     return;
-  run.stop_tag = outbox.Order(run.server, server->listing.address, state_.token,
-                              StopRun{ref.task, ref.run});
+  run.stop_tag = outbox.SendOrder(run.server, server->listing.address,
+                                  state_.token, StopRun{ref.task, ref.run});
   orders_[run.stop_tag] = {OrderKind::kStop, run.server, ref, now};
 }
 
@@ -208,17 +209,19 @@
   ServerState* server = state_.servers.Find(order.server);
   if (server == nullptr)
     return true;
-  if (reply.born && server->born && *reply.born < *server->born) {
+  if (reply.incarnation_started_at && server->incarnation_started_at &&
+      *reply.incarnation_started_at < *server->incarnation_started_at) {
     OnStaleReply(now, order, *server, reply.tag, outbox);
     return true;
   }
-  if (reply.born)
-    OnBorn(now, order.server, *reply.born, outbox);
+  if (reply.incarnation_started_at)
+    OnIncarnationListed(now, order.server, *reply.incarnation_started_at,
+                        outbox);
   if (reply.clock) {
     server->clock.Observe(order.sent, now, *reply.clock);
-    server->contact = now;
+    server->last_answer_at = now;
   }
-  if (reply.outcome == OrderOutcome::kOtherLife) {
+  if (reply.outcome == OrderOutcome::kOtherIncarnation) {
     OnServerGone(now, *server, "other-life", outbox);
     // The listing that led to it is out of date.
     server->listed = false;
@@ -231,15 +234,15 @@
     case OrderKind::kStop:
       OnStopReply(now, order, reply, outbox);
       break;
-    case OrderKind::kLook:
-    case OrderKind::kQuickLook:
-      OnLookReply(now, order, reply, outbox);
+    case OrderKind::kPoll:
+    case OrderKind::kQuickPoll:
+      OnPollReply(now, order, reply, outbox);
       break;
     case OrderKind::kPace:
       break;
   }
   CloseResolved();
-  // The next look at the server, or a repeated stop, may be due.
+  // The next poll of the server, or a repeated stop, may be due.
   Wake(now);
   return true;
 }
@@ -249,10 +252,10 @@
                               ServerState& server,
                               uint64_t tag,
                               Outbox& outbox) {
-  if (server.look_tag == tag)
-    server.look_tag = 0;
-  if (server.quick_look_tag == tag)
-    server.quick_look_tag = 0;
+  if (server.poll_tag == tag)
+    server.poll_tag = 0;
+  if (server.quick_poll_tag == tag)
+    server.quick_poll_tag = 0;
   Run* run = state_.jobs.FindRun(order.run);
   if (run == nullptr)
     return;
@@ -263,31 +266,35 @@
   CloseResolved();
 }
 
-void RunControl::OnBorn(Time now,
-                        const ServerId& id,
-                        WallMillis born,
-                        Outbox& outbox) {
+void RunControl::OnIncarnationListed(Time now,
+                                     const ServerId& id,
+                                     WallMillis incarnation_started_at,
+                                     Outbox& outbox) {
   ServerState* server = state_.servers.Find(id);
-  if (server == nullptr || (server->born && *server->born >= born))
+  if (server == nullptr ||
+      (server->incarnation_started_at &&
+       *server->incarnation_started_at >= incarnation_started_at))
     return;
-  bool reborn = server->born.has_value();
-  server->born = born;
+  bool reborn = server->incarnation_started_at.has_value();
+  server->incarnation_started_at = incarnation_started_at;
   if (!reborn)
     return;
-  outbox.Log("server-restarted", {{"server", id.str()}, {"born", born}});
+  outbox.LogDecision("server-restarted",
+                     {{"server", id.str()}, {"born", incarnation_started_at}});
   server->clock.Reset();
-  server->contact.reset();
+  server->last_answer_at.reset();
   server->lease_until = 0;
-  server->ended_seen = server->ended_stored = server->ended_sent = 0;
-  server->unstored.clear();
-  server->next_look = now;
-  EndLife(now, *server, "server-restarted", outbox);
+  server->last_applied_end = server->last_stored_end =
+      server->last_acknowledged_end = 0;
+  server->unstored_ends.clear();
+  server->next_poll_at = now;
+  EndIncarnation(now, *server, "server-restarted", outbox);
 }
 
-void RunControl::EndLife(Time now,
-                         ServerState& server,
-                         std::string_view reason,
-                         Outbox& outbox) {
+void RunControl::EndIncarnation(Time now,
+                                ServerState& server,
+                                std::string_view reason,
+                                Outbox& outbox) {
   std::vector<RunRef> runs = server.runs;
   for (const RunRef& ref : runs) {
     Run* run = state_.jobs.FindRun(ref);
@@ -301,21 +308,22 @@
     if (run->phase == RunPhase::kOrdered)
       continue;  // Its answer decides.
     run->phase = RunPhase::kUncertain;
-    run->since = now;
+    run->phase_since = now;
     run->stopped_at.reset();
-    NeedCare(now, server.listing.id);
+    RequestRunCheck(now, server.listing.id);
   }
 }
 
 void RunControl::OnServerDead(Time now, ServerState& server, Outbox& outbox) {
   size_t runs = server.runs.size();
-  EndLife(now, server, "server-dead", outbox);
+  EndIncarnation(now, server, "server-dead", outbox);
   CloseResolved();
   if (runs == server.runs.size())
     return;
-  outbox.Log("server-dead",
-             {{"server", server.listing.id.str()},
-              {"runs", static_cast<int64_t>(runs - server.runs.size())}});
+  outbox.LogDecision(
+      "server-dead",
+      {{"server", server.listing.id.str()},
+       {"runs", static_cast<int64_t>(runs - server.runs.size())}});
 }
 
 void RunControl::OnStartReply(Time now,
@@ -329,28 +337,29 @@
   switch (reply.outcome) {
     case OrderOutcome::kDone:
       run->phase = RunPhase::kRunning;
-      run->since = now;
-      run->percent_changed = now;
+      run->phase_since = now;
+      run->progress_changed_at = now;
       if (run->stop_wanted)
         SendStop(now, order.run, *run, outbox);
-      // The look under way may have been asked without a wait for ends.
-      if (server.look_tag == 0)
-        server.next_look = std::min(server.next_look, now + LookGap());
+      // The poll under way may have been asked without a wait for ends.
+      if (server.poll_tag == 0)
+        server.next_poll_at =
+            std::min(server.next_poll_at, now + PollInterval());
       return;
     case OrderOutcome::kUnanswered:
       ++state_.counters.starts_unanswered;
       run->phase = RunPhase::kUncertain;
-      run->since = now;
-      NeedCare(now, order.server);
-      outbox.Log("start-unanswered",
-                 {{"task", FormatTask(order.run.task)},
-                  {"run", static_cast<int64_t>(order.run.run)},
-                  {"server", order.server.str()}});
-      SendLook(now, server, true, true, outbox);
+      run->phase_since = now;
+      RequestRunCheck(now, order.server);
+      outbox.LogDecision("start-unanswered",
+                         {{"task", FormatTask(order.run.task)},
+                          {"run", static_cast<int64_t>(order.run.run)},
+                          {"server", order.server.str()}});
+      SendPoll(now, server, true, true, outbox);
       return;
     case OrderOutcome::kNotSent:
       // The connection failed before the order was written.
-      server.failed_looks = std::max(server.failed_looks, 1u);
+      server.failed_polls = std::max(server.failed_polls, 1u);
       RemoveRun(now, order.run, "not-sent", outbox);
       return;
     default:
@@ -359,13 +368,13 @@
   ++state_.counters.starts_refused;
   if (reply.outcome == OrderOutcome::kBadTicket)
     state_.advice.Drop(order.run.task, order.server);
-  outbox.Log("start-refused",
-             {{"task", FormatTask(order.run.task)},
-              {"run", static_cast<int64_t>(order.run.run)},
-              {"server", order.server.str()},
-              {"outcome", static_cast<int64_t>(reply.outcome)}});
-  server.held_back_until =
-      std::max(server.held_back_until, now + kRefusedHoldBack);
+  outbox.LogDecision("start-refused",
+                     {{"task", FormatTask(order.run.task)},
+                      {"run", static_cast<int64_t>(order.run.run)},
+                      {"server", order.server.str()},
+                      {"outcome", static_cast<int64_t>(reply.outcome)}});
+  server.quarantined_until =
+      std::max(server.quarantined_until, now + kRefusedHoldBack);
   RemoveRun(now, order.run, "refused", outbox);
 }
 
@@ -379,39 +388,39 @@
   run->stop_tag = 0;
   if (reply.outcome == OrderOutcome::kDone) {
     run->stopped_at = now;
-    SendLook(now, *state_.servers.Find(order.server), true, true, outbox);
+    SendPoll(now, *state_.servers.Find(order.server), true, true, outbox);
     return;
   }
   Wake(now + kStopRepeat);
 }
 
-void RunControl::OnLookReply(Time now,
+void RunControl::OnPollReply(Time now,
                              const PendingOrder& order,
                              const ServerReply& reply,
                              Outbox& outbox) {
   ServerState& server = *state_.servers.Find(order.server);
-  if (server.look_tag == reply.tag)
-    server.look_tag = 0;
-  if (server.quick_look_tag == reply.tag)
-    server.quick_look_tag = 0;
+  if (server.poll_tag == reply.tag)
+    server.poll_tag = 0;
+  if (server.quick_poll_tag == reply.tag)
+    server.quick_poll_tag = 0;
   if (reply.outcome != OrderOutcome::kDone) {
-    if (order.kind == OrderKind::kQuickLook)
+    if (order.kind == OrderKind::kQuickPoll)
       return;
-    ++server.failed_looks;
-    server.next_look =
+    ++server.failed_polls;
+    server.next_poll_at =
         now +
-        std::min(kMaxFailedLookDelay,
-                 kFailedLookDelay * static_cast<int64_t>(server.failed_looks));
+        std::min(kMaxFailedPollDelay,
+                 kFailedPollDelay * static_cast<int64_t>(server.failed_polls));
     return;
   }
-  server.failed_looks = 0;
+  server.failed_polls = 0;
   ApplyEnds(now, server, reply, outbox);
   ApplyRunning(now, server, reply, outbox);
   ResolveMissing(now, server, order.sent, reply, outbox);
-  if (order.kind == OrderKind::kLook) {
-    server.next_look = server.runs.empty()
-                           ? now + kIdleLookPeriod
-                           : std::max(now, order.sent + LookGap());
+  if (order.kind == OrderKind::kPoll) {
+    server.next_poll_at = server.runs.empty()
+                              ? now + kIdlePollPeriod
+                              : std::max(now, order.sent + PollInterval());
   }
 }
 
@@ -420,13 +429,13 @@
                            const ServerReply& reply,
                            Outbox& outbox) {
   for (const EndedRun& ended : reply.ended) {
-    if (ended.sequence <= server.ended_seen)
+    if (ended.sequence <= server.last_applied_end)
       continue;
-    server.ended_seen = ended.sequence;
+    server.last_applied_end = ended.sequence;
     OnEnd(now, ended, server, outbox);
     const Job* job = state_.jobs.Find(ended.task.job);
     if (job != nullptr && job->stored_changes < job->changes)
-      server.unstored.push_back({ended.sequence, job->id, job->changes});
+      server.unstored_ends.push_back({ended.sequence, job->id, job->changes});
   }
 }
 
@@ -461,8 +470,8 @@
     case RunEnd::kStopped:
       ++state_.counters.runs_stopped;
       break;
-    case RunEnd::kLeaseLapsed:
-      ++state_.counters.runs_lapsed;
+    case RunEnd::kLeaseExpired:
+      ++state_.counters.runs_lease_expired;
       break;
     case RunEnd::kGangBroken:
     case RunEnd::kGangAlone:
@@ -481,8 +490,9 @@
                 !job.StepOf(task).long_running;
   if (!counts)
     return;
-  outbox.Log("late-success", {{"task", FormatTask(ended.task)},
-                              {"run", static_cast<int64_t>(ended.run)}});
+  outbox.LogDecision("late-success",
+                     {{"task", FormatTask(ended.task)},
+                      {"run", static_cast<int64_t>(ended.run)}});
   OnTaskDone(now, job, task, {ended.task, ended.run}, outbox);
 }
 
@@ -510,11 +520,11 @@
       RequestStop(now, job.IdOf(occurrence, other), copy, "copy-done", outbox);
   }
   if (job.state == JobState::kCompleted) {
-    outbox.Log("job-completed",
-               {{"job", job.id.str()},
-                {"queue", job.spec.queue.str()},
-                {"took_ms", WholeMilliseconds(now - job.arrived)},
-                {"late_ms", WholeMilliseconds(now - job.objective)}});
+    outbox.LogDecision("job-completed",
+                       {{"job", job.id.str()},
+                        {"queue", job.spec.queue.str()},
+                        {"took_ms", WholeMilliseconds(now - job.arrived)},
+                        {"late_ms", WholeMilliseconds(now - job.objective)}});
   }
   to_close_.insert(job.id);
 }
@@ -530,11 +540,12 @@
   if (task.failures == 0) {
     server.failure_score = std::min(kMaxFailureScore, server.failure_score + 1);
     if (server.failure_score >= kFailureLimit) {
-      server.held_back_until = now + kHoldBack;
-      outbox.Log("server-held-back",
-                 {{"server", server.listing.id.str()},
-                  {"failures",
-                   static_cast<int64_t>(std::lround(server.failure_score))}});
+      server.quarantined_until = now + kHoldBack;
+      outbox.LogDecision(
+          "server-held-back",
+          {{"server", server.listing.id.str()},
+           {"failures",
+            static_cast<int64_t>(std::lround(server.failure_score))}});
     }
   }
   ++task.failures;
@@ -544,10 +555,11 @@
       IsFinal(job.state))
     return;
   state_.jobs.MarkEnded(job, JobState::kFailed, now);
-  outbox.Log("job-failed", {{"job", job.id.str()},
-                            {"task", FormatTask(ref.task)},
-                            {"failures", static_cast<int64_t>(task.failures)},
-                            {"limit", static_cast<int64_t>(limit)}});
+  outbox.LogDecision("job-failed",
+                     {{"job", job.id.str()},
+                      {"task", FormatTask(ref.task)},
+                      {"failures", static_cast<int64_t>(task.failures)},
+                      {"limit", static_cast<int64_t>(limit)}});
   StopJob(now, job, "job-failed", outbox);
 }
 
@@ -563,7 +575,7 @@
   if (expected <= Duration::zero() || !task.checkpoint.empty() ||
       run.phase == RunPhase::kInherited)
     return;
-  double ratio = static_cast<double>((now - run.ordered).count()) /
+  double ratio = static_cast<double>((now - run.start_sent_at).count()) /
                  static_cast<double>(expected.count());
   ratio = std::clamp(ratio, 1 / kMaxRatio, kMaxRatio);
   server.slowness *= std::pow(ratio / server.slowness, kSlownessWeight);
@@ -580,32 +592,33 @@
     Run* run = task == nullptr ? nullptr : task->FindRun(seen.run);
     if (run == nullptr || run->server != server.listing.id) {
       // Nothing that this owner knows of: a late start of an earlier one.
-      uint64_t tag = outbox.Order(server.listing.id, server.listing.address,
-                                  state_.token, StopRun{seen.task, seen.run});
+      uint64_t tag =
+          outbox.SendOrder(server.listing.id, server.listing.address,
+                           state_.token, StopRun{seen.task, seen.run});
       orders_[tag] = {
           OrderKind::kStop, server.listing.id, {seen.task, seen.run}, now};
-      outbox.Log("unknown-run-stopped",
-                 {{"task", FormatTask(seen.task)},
-                  {"run", static_cast<int64_t>(seen.run)},
-                  {"server", server.listing.id.str()}});
+      outbox.LogDecision("unknown-run-stopped",
+                         {{"task", FormatTask(seen.task)},
+                          {"run", static_cast<int64_t>(seen.run)},
+                          {"server", server.listing.id.str()}});
       continue;
     }
     if (run->phase != RunPhase::kRunning) {
       run->phase = RunPhase::kRunning;
-      run->since = now;
-      run->percent_changed = now;
+      run->phase_since = now;
+      run->progress_changed_at = now;
     }
     if (run->percent != seen.percent) {
       run->percent = seen.percent;
-      run->percent_changed = now;
+      run->progress_changed_at = now;
     }
     run->load = seen.load;
     if (!seen.checkpoint.empty() && seen.checkpoint != run->checkpoint) {
       run->checkpoint = seen.checkpoint;
       task->checkpoint = seen.checkpoint;
     }
-    if (task->missing_since && task->at_work()) {
-      task->missing_since.reset();
+    if (task->unavailable_since && task->is_available()) {
+      task->unavailable_since.reset();
       task->displaced = false;
     }
   }
@@ -613,7 +626,7 @@
 
 void RunControl::ResolveMissing(Time now,
                                 ServerState& server,
-                                Time look_sent,
+                                Time poll_sent_at,
                                 const ServerReply& reply,
                                 Outbox& outbox) {
   if (reply.ended.size() >= kFullEndList)
@@ -628,33 +641,33 @@
     Run* run = state_.jobs.FindRun(ref);
     if (run == nullptr)
       continue;
-    bool stopped_before = run->stopped_at && *run->stopped_at <= look_sent;
+    bool stopped_before = run->stopped_at && *run->stopped_at <= poll_sent_at;
     switch (run->phase) {
       case RunPhase::kPlanned:
       case RunPhase::kOrdered:
         break;
       case RunPhase::kInherited:
-        // The look carried the new token: no earlier start can follow.
+        // The poll carried the new token: no earlier start can follow.
         RemoveRun(now, ref, "not-inherited", outbox);
         break;
       case RunPhase::kRunning:
-        if (stopped_before || run->since <= look_sent)
+        if (stopped_before || run->phase_since <= poll_sent_at)
           RemoveRun(now, ref, "vanished", outbox);
         break;
       case RunPhase::kUncertain:
         if (stopped_before)
           RemoveRun(now, ref, "never-started", outbox);
-        else if (run->since <= look_sent && run->stop_tag == 0)
+        else if (run->phase_since <= poll_sent_at && run->stop_tag == 0)
           SendStop(now, ref, *run, outbox);
         break;
     }
   }
 }
 
-void RunControl::NeedCare(Time now, const ServerId& id) {
+void RunControl::RequestRunCheck(Time now, const ServerId& id) {
   ServerState* server = state_.servers.Find(id);
   if (server != nullptr)
-    server->needs_care = true;
+    server->needs_run_check = true;
   Wake(now);
 }
 
@@ -667,15 +680,16 @@
   Run* run = task == nullptr ? nullptr : task->FindRun(ref.run);
   if (run == nullptr)
     return;
-  outbox.Log("run-over", {{"task", FormatTask(ref.task)},
-                          {"run", static_cast<int64_t>(ref.run)},
-                          {"server", run->server.str()},
-                          {"reason", std::string(reason)},
-                          {"ran_ms", WholeMilliseconds(now - run->ordered)}});
+  outbox.LogDecision("run-over",
+                     {{"task", FormatTask(ref.task)},
+                      {"run", static_cast<int64_t>(ref.run)},
+                      {"server", run->server.str()},
+                      {"reason", std::string(reason)},
+                      {"ran_ms", WholeMilliseconds(now - run->start_sent_at)}});
   state_.servers.RemoveRun(run->server, ref,
                            job->StepOf(*task).counted_request());
-  if (job->StepOf(*task).long_running && !task->missing_since)
-    task->missing_since = now;
+  if (job->StepOf(*task).long_running && !task->unavailable_since)
+    task->unavailable_since = now;
   std::erase_if(task->runs,
                 [&ref](const Run& r) { return r.number == ref.run; });
   task->ready_since = now;
@@ -703,37 +717,37 @@
     RemoveRun(now, ref, reason, outbox);
 }
 
-void RunControl::SendLook(Time now,
+void RunControl::SendPoll(Time now,
                           ServerState& server,
                           bool quick,
                           bool extend,
                           Outbox& outbox) {
   if (server.listing.address.empty())
     return;
-  uint64_t& tag = quick ? server.quick_look_tag : server.look_tag;
+  uint64_t& tag = quick ? server.quick_poll_tag : server.poll_tag;
   if (tag != 0)
     return;
-  ExtendLease look;
-  // Each look that a lost server may still receive would put off the time from
+  PollServer server_poll;
+  // Each poll that a lost server may still receive would put off the time from
   // which its tasks can start elsewhere.
-  bool answers = server.failed_looks == 0;
+  bool answers = server.failed_polls == 0;
   if (extend && answers && server.clock.known() && !server.runs.empty()) {
-    look.lease_until =
+    server_poll.lease_until =
         server.clock.Nominal(now) + WholeMilliseconds(state_.lease());
-    server.lease_until = std::max(server.lease_until, look.lease_until);
+    server.lease_until = std::max(server.lease_until, server_poll.lease_until);
   }
-  look.acknowledged = server.ended_stored;
-  server.ended_sent = server.ended_stored;
+  server_poll.acknowledged = server.last_stored_end;
+  server.last_acknowledged_end = server.last_stored_end;
   bool may_wait = !quick && !server.runs.empty() &&
-                  server.ended_seen == server.ended_stored &&
-                  server.contact.has_value();
-  look.wait = may_wait ? kBusyLookWait : Duration::zero();
+                  server.last_applied_end == server.last_stored_end &&
+                  server.last_answer_at.has_value();
+  server_poll.wait = may_wait ? kBusyPollWait : Duration::zero();
   if (!quick)
-    server.look_sent = now;
-  ++state_.counters.looks;
-  tag = outbox.Order(server.listing.id, server.listing.address, state_.token,
-                     look);
-  orders_[tag] = {quick ? OrderKind::kQuickLook : OrderKind::kLook,
+    server.poll_sent_at = now;
+  ++state_.counters.server_polls;
+  tag = outbox.SendOrder(server.listing.id, server.listing.address,
+                         state_.token, server_poll);
+  orders_[tag] = {quick ? OrderKind::kQuickPoll : OrderKind::kPoll,
                   server.listing.id,
                   {},
                   now};
@@ -741,24 +755,24 @@
 
 void RunControl::OnStored(Time now) {
   for (auto& [id, server] : state_.servers.all()) {
-    while (!server.unstored.empty()) {
-      const Job* job = state_.jobs.Find(server.unstored.front().job);
+    while (!server.unstored_ends.empty()) {
+      const Job* job = state_.jobs.Find(server.unstored_ends.front().job);
       if (job != nullptr &&
-          job->stored_changes < server.unstored.front().changes)
+          job->stored_changes < server.unstored_ends.front().changes)
         break;
-      server.unstored.pop_front();
+      server.unstored_ends.pop_front();
     }
-    server.ended_stored = server.unstored.empty()
-                              ? server.ended_seen
-                              : server.unstored.front().sequence - 1;
+    server.last_stored_end = server.unstored_ends.empty()
+                                 ? server.last_applied_end
+                                 : server.unstored_ends.front().sequence - 1;
   }
   Wake(now);
 }
 
-Duration RunControl::LookGap() const {
-  return std::max(
-      kMinLookGap,
-      kLookGapPerServer * static_cast<int64_t>(state_.servers.all().size()));
+Duration RunControl::PollInterval() const {
+  return std::max(kMinPollInterval,
+                  kPollIntervalPerServer *
+                      static_cast<int64_t>(state_.servers.all().size()));
 }
 
 void RunControl::Tick(Time now, bool extend, Outbox& outbox) {
@@ -779,47 +793,47 @@
       (server.listed && server.listing.pool == state_.pool && !state_.standby);
   if (!needed)
     return;
-  if (server.look_tag == 0) {
-    bool unstored = server.ended_seen > server.ended_stored;
-    bool acknowledge = server.ended_stored > server.ended_sent;
-    Time due = server.next_look;
-    // The commit that stores the ends brings the next look.
-    if (unstored && server.failed_looks == 0)
-      due = std::max(due, server.look_sent + kBusyLookWait);
+  if (server.poll_tag == 0) {
+    bool unstored_ends = server.last_applied_end > server.last_stored_end;
+    bool acknowledge = server.last_stored_end > server.last_acknowledged_end;
+    Time due = server.next_poll_at;
+    // The commit that stores the ends brings the next poll.
+    if (unstored_ends && server.failed_polls == 0)
+      due = std::max(due, server.poll_sent_at + kBusyPollWait);
     if (acknowledge)
-      due = std::min(due, server.look_sent + LookGap());
+      due = std::min(due, server.poll_sent_at + PollInterval());
     if (now >= due)
-      SendLook(now, server, false, extend, outbox);
+      SendPoll(now, server, false, extend, outbox);
     else
       Wake(due);
   }
-  bool silent = server.failed_looks > 0 || !server.contact;
-  if (server.runs.empty() || (!silent && !server.needs_care))
+  bool silent = server.failed_polls > 0 || !server.last_answer_at;
+  if (server.runs.empty() || (!silent && !server.needs_run_check))
     return;
   CheckRuns(now, server, outbox);
 }
 
 void RunControl::CheckRuns(Time now, ServerState& server, Outbox& outbox) {
-  server.needs_care = false;
-  bool lapsed = server.LeasesLapsed(now);
+  server.needs_run_check = false;
+  bool lapsed = server.LeasesExpired(now);
   std::vector<RunRef> runs = server.runs;
   for (const RunRef& ref : runs) {
     Run* run = state_.jobs.FindRun(ref);
     if (run == nullptr || run->phase == RunPhase::kPlanned)
       continue;
     if (lapsed && HasLapsed(*run, server, now)) {
-      ++state_.counters.runs_lapsed;
+      ++state_.counters.runs_lease_expired;
       RemoveRun(now, ref, "lapsed", outbox);
       continue;
     }
-    server.needs_care = server.needs_care || NeedsCare(*run);
+    server.needs_run_check = server.needs_run_check || NeedsCare(*run);
     bool stop = NeedsCare(*run);
     if (!stop || run->stop_tag != 0 || run->stopped_at)
       continue;
     if (run->phase == RunPhase::kUncertain && !run->stop_wanted &&
-        server.quick_look_tag == 0 && now - run->since < kStopRepeat) {
-      SendLook(now, server, true, true, outbox);
-      Wake(run->since + kStopRepeat);
+        server.quick_poll_tag == 0 && now - run->phase_since < kStopRepeat) {
+      SendPoll(now, server, true, true, outbox);
+      Wake(run->phase_since + kStopRepeat);
       continue;
     }
     if (run->phase == RunPhase::kOrdered)
--- a/radishmoor/jobs/run_control.h
+++ b/radishmoor/jobs/run_control.h
@@ -1,5 +1,5 @@
 // Orders to the backend servers of one pool and what their answers mean for the
-// runs: starts, stops, looks that extend leases, and the ends that they list.
+// runs: starts, stops, polls that extend leases, and the ends that they list.
 //
 // A run leaves the table only when it surely does not run and never will: its
 // end was listed; the server refused the start; the server answered a stop and
@@ -44,12 +44,15 @@
   bool OnReply(Time now, const ServerReply& reply, Outbox& outbox);
 
   // A server's life as its listing shows it.
-  void OnBorn(Time now, const ServerId& server, WallMillis born, Outbox& out);
+  void OnIncarnationListed(Time now,
+                           const ServerId& server,
+                           WallMillis incarnation_started_at,
+                           Outbox& out);
 
   // The platform says that this life of the server is over.
   void OnServerDead(Time now, ServerState& server, Outbox& outbox);
 
-  // Sends the looks and repeated stops that are due; gives up runs whose
+  // Sends the polls and repeated stops that are due; gives up runs whose
   // leases have lapsed. `extend` is false when leases must not grow. Costs
   // nothing before next_wake().
   void Tick(Time now, bool extend, Outbox& outbox);
@@ -62,9 +65,9 @@
   size_t orders_in_flight() const { return orders_.size(); }
 
  private:
-  enum class OrderKind : uint8_t { kStart, kStop, kLook, kQuickLook, kPace };
+  enum class OrderKind : uint8_t { kStart, kStop, kPoll, kQuickPoll, kPace };
   struct PendingOrder {
-    OrderKind kind = OrderKind::kLook;
+    OrderKind kind = OrderKind::kPoll;
     ServerId server;
     RunRef run;
     Time sent;
@@ -78,7 +81,7 @@
                    const PendingOrder& order,
                    const ServerReply& reply,
                    Outbox& outbox);
-  void OnLookReply(Time now,
+  void OnPollReply(Time now,
                    const PendingOrder& order,
                    const ServerReply& reply,
                    Outbox& outbox);
@@ -92,7 +95,7 @@
                     Outbox& outbox);
   void ResolveMissing(Time now,
                       ServerState& server,
-                      Time look_sent,
+                      Time poll_sent_at,
                       const ServerReply& reply,
                       Outbox& outbox);
   void OnEnd(Time now, const EndedRun& ended, ServerState& server, Outbox& out);
@@ -119,10 +122,10 @@
   void CloseResolved();
   // Ends the runs of a life of the server that is over. Starts without an
   // answer may reach a later life: they have to be stopped there, or to lapse.
-  void EndLife(Time now,
-               ServerState& server,
-               std::string_view reason,
-               Outbox& outbox);
+  void EndIncarnation(Time now,
+                      ServerState& server,
+                      std::string_view reason,
+                      Outbox& outbox);
   void OnServerGone(Time now,
                     ServerState& server,
                     std::string_view reason,
@@ -135,7 +138,7 @@
                     Outbox& outbox);
 
   void SendStop(Time now, const RunRef& ref, Run& run, Outbox& outbox);
-  void SendLook(Time now,
+  void SendPoll(Time now,
                 ServerState& server,
                 bool quick,
                 bool extend,
@@ -143,8 +146,8 @@
   void CheckServer(Time now, ServerState& server, bool extend, Outbox& outbox);
   void CheckRuns(Time now, ServerState& server, Outbox& outbox);
   // The server's runs have to be gone through at the next tick.
-  void NeedCare(Time now, const ServerId& id);
-  Duration LookGap() const;
+  void RequestRunCheck(Time now, const ServerId& id);
+  Duration PollInterval() const;
   void LearnRunTime(Time now,
                     Job& job,
                     const Task& task,
--- a/radishmoor/jobs/server_book.cc
+++ b/radishmoor/jobs/server_table.cc
@@ -1,4 +1,4 @@
-#include "radishmoor/jobs/server_book.h"
+#include "radishmoor/jobs/server_table.h"
 
 #include <algorithm>
 
@@ -33,36 +33,36 @@
   return clock_ + static_cast<ServerMillis>(elapsed * (1 - kMaxClockDrift));
 }
 
-bool ServerState::LeasesLapsed(Time now) const {
-  if (now < inherited_until)
+bool ServerState::LeasesExpired(Time now) const {
+  if (now < inherited_leases_until)
     return false;
   if (!clock.known())
     return lease_until == 0;
   return clock.Earliest(now) > lease_until + kClockGranularity;
 }
 
-ServerState* ServerBook::Find(const ServerId& id) {
+ServerState* ServerTable::Find(const ServerId& id) {
   auto it = servers_.find(id);
   return it == servers_.end() ? nullptr : &it->second;
 }
 
-ServerState& ServerBook::Ensure(const ServerId& id) {
+ServerState& ServerTable::Ensure(const ServerId& id) {
   ServerState& server = servers_[id];
   server.listing.id = id;
   return server;
 }
 
-void ServerBook::AddRun(const ServerId& server,
-                        const RunRef& run,
-                        const Resources& request) {
+void ServerTable::AddRun(const ServerId& server,
+                         const RunRef& run,
+                         const Resources& request) {
   ServerState& state = Ensure(server);
   state.runs.push_back(run);
   state.used += request;
 }
 
-void ServerBook::RemoveRun(const ServerId& server,
-                           const RunRef& run,
-                           const Resources& request) {
+void ServerTable::RemoveRun(const ServerId& server,
+                            const RunRef& run,
+                            const Resources& request) {
   ServerState* state = Find(server);
   if (state == nullptr)
     return;
--- a/radishmoor/jobs/server_book.h
+++ b/radishmoor/jobs/server_table.h
@@ -4,8 +4,8 @@
 // The clock model bounds the server's own clock from answers that carry it, so
 // that the owner can tell when every lease that it gave has surely lapsed.
 
-#ifndef RADISHMOOR_JOBS_SERVER_BOOK_H_
-#define RADISHMOOR_JOBS_SERVER_BOOK_H_
+#ifndef RADISHMOOR_JOBS_SERVER_TABLE_H_
+#define RADISHMOOR_JOBS_SERVER_TABLE_H_
 
 #include <cstdint>
 #include <deque>
@@ -48,50 +48,50 @@
   Time unlisted_since;
   // The last answer under this owner's token; without one, the server still
   // obeys an earlier owner.
-  std::optional<Time> contact;
-  std::optional<WallMillis> born;
+  std::optional<Time> last_answer_at;
+  std::optional<WallMillis> incarnation_started_at;
   ServerClock clock;
   ServerMillis lease_until = 0;  // Latest lease that was given.
   // Leases of earlier owners have lapsed by then.
-  Time inherited_until;
+  Time inherited_leases_until;
 
   // Of all runs that may be there, ended ones excluded.
   Resources used;
   std::vector<RunRef> runs;
 
-  uint64_t ended_seen = 0;    // Ends up to here have been applied,
-  uint64_t ended_stored = 0;  // and are stored,
-  uint64_t ended_sent = 0;    // and the server was told.
+  uint64_t last_applied_end = 0;       // Ends up to here have been applied,
+  uint64_t last_stored_end = 0;        // and are stored,
+  uint64_t last_acknowledged_end = 0;  // and the server was told.
   // Ends that were applied and are not stored, oldest first.
   struct UnstoredEnd {
     uint64_t sequence = 0;
     JobId job;
     uint64_t changes = 0;  // Of the job, that must be stored.
   };
-  std::deque<UnstoredEnd> unstored;
+  std::deque<UnstoredEnd> unstored_ends;
 
-  uint64_t look_tag = 0;  // Of the look under way; 0: none.
-  Time look_sent;
-  uint64_t quick_look_tag = 0;
-  Time next_look;
-  uint32_t failed_looks = 0;
+  uint64_t poll_tag = 0;  // Of the poll under way; 0: none.
+  Time poll_sent_at;
+  uint64_t quick_poll_tag = 0;
+  Time next_poll_at;
+  uint32_t failed_polls = 0;
   // A run on it has to be stopped, or may not be there.
-  bool needs_care = false;
+  bool needs_run_check = false;
 
   // Ratio of observed and expected run times, against the pool's.
   double slowness = 1.0;
   // Failures of first attempts, less successes; above the limit the server is
   // held back.
   double failure_score = 0;
-  Time held_back_until;
+  Time quarantined_until;
   Time last_success;
 
   Time paced;  // Latest change of a pace.
 
   // The server is being emptied for maintenance or a move.
   bool vacating = false;
-  Time vacate_asked;  // Latest request.
-  Time vacate_started;
+  Time vacate_requested_at;  // Latest request.
+  Time vacate_started_at;
 
   bool Serves(const PoolId& pool) const {
     return listed && listing.pool == pool && !listing.draining;
@@ -102,10 +102,10 @@
     return room;
   }
   // Every lease that any owner gave has surely lapsed.
-  bool LeasesLapsed(Time now) const;
+  bool LeasesExpired(Time now) const;
 };
 
-class ServerBook {
+class ServerTable {
  public:
   ServerState* Find(const ServerId& id);
   ServerState& Ensure(const ServerId& id);
@@ -126,4 +126,4 @@
 
 }  // namespace radishmoor
 
-#endif  // RADISHMOOR_JOBS_SERVER_BOOK_H_
+#endif  // RADISHMOOR_JOBS_SERVER_TABLE_H_
--- a/radishmoor/jobs/task_dispatch.cc
+++ b/radishmoor/jobs/task_dispatch.cc
@@ -55,8 +55,9 @@
   server_ids_.clear();
   for (auto& [id, server] : state_.servers.all()) {
     bool usable = server.Serves(state_.pool) && !server.vacating &&
-                  server.contact && now - *server.contact <= kMaxContactAge &&
-                  server.failed_looks == 0 && now >= server.held_back_until;
+                  server.last_answer_at &&
+                  now - *server.last_answer_at <= kMaxContactAge &&
+                  server.failed_polls == 0 && now >= server.quarantined_until;
     if (!usable)
       continue;
     PlacementServer s;
@@ -74,8 +75,8 @@
       if (job == nullptr || ref.task.step >= job->spec.steps.size())
         continue;
       const StepSpec& step = job->spec.steps[ref.task.step];
-      s.sensitive_runs += step.tail_limit > Duration::zero() ? 1 : 0;
-      s.spare_runs += step.uses_spare ? 1 : 0;
+      s.latency_sensitive_runs += step.tail_limit > Duration::zero() ? 1 : 0;
+      s.best_effort_runs += step.best_effort ? 1 : 0;
       s.long_runs += step.long_running ? 1 : 0;
     }
     servers.push_back(std::move(s));
@@ -121,8 +122,8 @@
     input.long_running = job->spec.long_running();
     input.objective = job->objective;
     input.arrived = job->arrived;
-    if (job->measured_at != job->changes) {
-      job->measured_at = job->changes;
+    if (job->remaining_as_of_change != job->changes) {
+      job->remaining_as_of_change = job->changes;
       job->remaining_chain = RemainingChain(*job);
       job->remaining_work = RemainingWork(*job);
     }
@@ -174,7 +175,7 @@
         continue;
       if (!JobTable::IsReady(job, occurrence, task))
         continue;
-      if (!step.uses_spare && (in_time || !task.runs.empty()))
+      if (!step.best_effort && (in_time || !task.runs.empty()))
         demand_cpu_ += step.request.cpu_millis;
       if (!task.idle())
         continue;
@@ -219,7 +220,7 @@
       queue == state_.queues.end() ? 1 : queue->second.max_attempts;
   described.last_attempt =
       !described.step->long_running && limit > 1 && task.failures + 1 >= limit;
-  described.far_factor = state_.bounds.far_factor;
+  described.remote_data_slowdown = state_.bounds.remote_data_slowdown;
   return described;
 }
 
@@ -377,9 +378,9 @@
   Run run;
   run.number = number;
   run.server = server_ids_[server.position];
-  run.since = now;
-  run.ordered = now;
-  run.percent_changed = now;
+  run.phase_since = now;
+  run.start_sent_at = now;
+  run.progress_changed_at = now;
   task.last_run = number;
   RunRef ref{job.IdOf(occurrence, task), number};
   state_.servers.AddRun(run.server, ref, request);
@@ -409,7 +410,7 @@
   const StepSpec& step = job.StepOf(task);
   uint32_t missing = 0;
   for (const Task& other : occurrence.tasks) {
-    if (&other != &task && other.step == task.step && !other.at_work())
+    if (&other != &task && other.step == task.step && !other.is_available())
       ++missing;
   }
   return missing < std::max(1u, step.allowed_missing);
@@ -447,7 +448,7 @@
       worst = std::max(worst, static_cast<double>(run->load) * 1000 /
                                   static_cast<double>(step.tail_limit.count()));
     }
-    if (step.uses_spare)
+    if (step.best_effort)
       paced.emplace_back(ref, run->pace);
   }
   if (paced.empty() || now - server.paced < kPacePeriod)
@@ -487,7 +488,7 @@
     const Run& run = other.runs.front();
     if (run.phase == RunPhase::kRunning && run.percent >= kTellingPercent &&
         run.server != task.runs.front().server)
-      projected.push_back((now - run.since) * 100 / run.percent);
+      projected.push_back((now - run.phase_since) * 100 / run.percent);
   }
   if (projected.size() < kTellingSiblings)
     return Duration::zero();
@@ -508,20 +509,21 @@
     return;
   const StepSpec& step = job.StepOf(task);
   TaskId id = job.IdOf(occurrence, task);
-  Duration age = now - run.since;
+  Duration age = now - run.phase_since;
   Duration expected = state_.ExpectedRunTime(job, step);
-  bool fresh = server->contact && now - *server->contact < kStandstill;
+  bool fresh =
+      server->last_answer_at && now - *server->last_answer_at < kStandstill;
   if (step.long_running) {
-    // A task whose start-up was not over at the last look may be at work by
+    // A task whose start-up was not over at the last poll may be at work by
     // now.
     bool leaves = server->listing.draining ||
                   (server->vacating && MayDisplace(job, occurrence, task));
     if (leaves) {
       task.displaced = true;
       runs_.RequestStop(now, id, run.number, "server-leaves", outbox);
-    } else if (!task.at_work() && fresh &&
-               now - run.percent_changed > 2 * kStandstill) {
-      server->held_back_until = now + kStandstillHoldBack;
+    } else if (!task.is_available() && fresh &&
+               now - run.progress_changed_at > 2 * kStandstill) {
+      server->quarantined_until = now + kStandstillHoldBack;
       runs_.RequestStop(now, id, run.number, "no-progress", outbox);
     }
     return;
@@ -536,7 +538,7 @@
     bool saves =
         step.checkpointing && remaining > kCheckpointPatience && may_move;
     bool overdue =
-        server->vacating && now - server->vacate_started > kEmptyPatience;
+        server->vacating && now - server->vacate_started_at > kEmptyPatience;
     if (!saves && !overdue)
       return;
     ++task.relocations;
@@ -545,9 +547,9 @@
   }
   if (step.gang || !fresh || task.runs.size() > 1)
     return;
-  if (run.percent < 100 && now - run.percent_changed > kStandstill &&
+  if (run.percent < 100 && now - run.progress_changed_at > kStandstill &&
       age > kStandstill) {
-    server->held_back_until = now + kStandstillHoldBack;
+    server->quarantined_until = now + kStandstillHoldBack;
     ++state_.counters.relocations;
     runs_.RequestStop(now, id, run.number, "no-progress", outbox);
     return;
@@ -585,9 +587,10 @@
   UpdateLargestRoom(servers);
   if (PlanTask(now, job, occurrence, task, servers)) {
     ++state_.counters.copies;
-    outbox.Log("copy-started", {{"task", FormatTask(id)},
-                                {"age_ms", WholeMilliseconds(age)},
-                                {"expected_ms", WholeMilliseconds(expected)}});
+    outbox.LogDecision("copy-started",
+                       {{"task", FormatTask(id)},
+                        {"age_ms", WholeMilliseconds(age)},
+                        {"expected_ms", WholeMilliseconds(expected)}});
   }
 }
 
--- a/radishmoor/jobs/testing/fleet_keeper_test.cc
+++ b/radishmoor/jobs/testing/fleet_coordinator_test.cc
@@ -1,4 +1,4 @@
-#include "radishmoor/jobs/fleet_keeper.h"
+#include "radishmoor/jobs/fleet_coordinator.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -12,10 +12,10 @@
 
 constexpr Duration kStep = Milliseconds(50);
 
-// A keeper with a store and a host API that does at once what it is told.
-class KeeperSite {
+// A coordinator with a store and a host API that does at once what it is told.
+class FleetCoordinatorHarness {
  public:
-  KeeperSite() {
+  FleetCoordinatorHarness() {
     config_.version = 1;
     config_.pools = {{PoolId("a")}, {PoolId("b")}, {PoolId("spare"), true}};
     for (int i = 0; i < 12; ++i) {
@@ -30,7 +30,7 @@
   }
 
   void TakeOver() {
-    FleetKeeperOptions options;
+    FleetCoordinatorOptions options;
     options.node = MemberId("n" + std::to_string(token_));
     options.token = ++token_;
     options.first_owner = token_ == 1;
@@ -40,41 +40,42 @@
     lease.token = token_;
     Transaction transaction;
     transaction.writes.push_back(
-        {OwnerLeaseKey(PoolId(kFleetPool)), EncodeLease(lease)});
+        {OwnerLeaseKey(PoolId(kFleetPseudoPool)), EncodeLease(lease)});
     options.lease_version =
         std::get<CommittedReply>(table_.Handle(CommitRows{transaction}))
             .versions[0];
-    keeper_ = std::make_unique<FleetKeeper>(options, forecast_, outbox_);
-    keeper_->OnConfig(config_);
-    std::vector<KnownWave> known;
+    coordinator_ =
+        std::make_unique<FleetCoordinator>(options, forecast_, outbox_);
+    coordinator_->OnConfig(config_);
+    std::vector<ObservedWave> known;
     for (const MaintenanceWave& wave : waves_)
       known.push_back({wave, wave_seen_.value_or(now_)});
-    keeper_->OnWaves(known, outbox_);
+    coordinator_->OnWaves(known, outbox_);
   }
 
   Time now() const { return now_; }
 
-  // A row that an earlier keeper has left.
-  void PutDuty(const std::string& key, const DutyRow& row) {
+  // A row that an earlier coordinator has left.
+  void PutHostOperation(const std::string& key, const HostOperationRow& row) {
     Transaction transaction;
-    transaction.writes.push_back({key, EncodeDuty(row)});
+    transaction.writes.push_back({key, EncodeHostOperation(row)});
     table_.Handle(CommitRows{transaction});
   }
 
   void Run(Duration length) {
     for (Time end = now_ + length; now_ < end; now_ += kStep) {
-      keeper_->Tick(now_, Contacts(), outbox_);
-      if (keeper_->wants_hosts())
-        keeper_->OnHosts(now_, hosts_, outbox_);
+      coordinator_->Tick(now_, Contacts(), outbox_);
+      if (coordinator_->wants_hosts())
+        coordinator_->OnHosts(now_, hosts_, outbox_);
       for (int round = 0; round < 4; ++round) {
-        for (JobAction& action : outbox_.Take())
+        for (JobAction& action : outbox_.TakeActions())
           Carry(action);
       }
     }
   }
 
   std::vector<MaintenanceWave> waves_;
-  std::optional<Time> wave_seen_;  // Else: when the keeper took over.
+  std::optional<Time> wave_seen_;  // Else: when the coordinator took over.
   std::map<PoolId, double> demand_;
   std::vector<HostId> maintained_;
   std::vector<HostId> moved_;
@@ -83,23 +84,23 @@
   // Servers that the pools' owners do not say to be empty.
   std::set<ServerId> busy_;
   std::vector<std::string> faults_;
-  TurnForecast forecast_;
+  PeakForecast forecast_;
   std::set<HostId> down_;  // Listed so; the API refuses calls for them.
   int refused_ = 0;
 
  private:
-  std::map<PoolId, PoolContact> Contacts() {
-    std::map<PoolId, PoolContact> contacts;
+  std::map<PoolId, PoolOwnerContact> Contacts() {
+    std::map<PoolId, PoolOwnerContact> contacts;
     for (const char* name : {"a", "b"}) {
-      PoolContact contact;
+      PoolOwnerContact contact;
       contact.node = MemberId("owner");
-      contact.beat.pool = PoolId(name);
-      contact.beat.token = 1;
-      contact.beat.capacity_cores = 64;
-      contact.beat.demand_cores = demand_[PoolId(name)];
+      contact.heartbeat.pool = PoolId(name);
+      contact.heartbeat.token = 1;
+      contact.heartbeat.capacity_cores = 64;
+      contact.heartbeat.demand_cores = demand_[PoolId(name)];
       for (const HostListing& host : hosts_) {
         if (host.pool == PoolId(name))
-          contact.beat.spare_servers.push_back(host.server);
+          contact.heartbeat.spare_servers.push_back(host.server);
       }
       contacts[PoolId(name)] = contact;
     }
@@ -108,22 +109,23 @@
 
   void Carry(const JobAction& action) {
     if (const auto* call = std::get_if<StoreCall>(&action)) {
-      keeper_->OnStoreAnswer(now_, {call->tag, table_.Handle(call->request)});
+      coordinator_->OnStoreAnswer(now_,
+                                  {call->tag, table_.Handle(call->request)});
     } else if (const auto* report = std::get_if<ReportWave>(&action)) {
       if (report->completed)
         completed_.insert(report->wave);
-      keeper_->OnStoreAnswer(now_, {report->tag, CommittedReply{}});
+      coordinator_->OnStoreAnswer(now_, {report->tag, CommittedReply{}});
     } else if (const auto* send = std::get_if<SendJobPeer>(&action)) {
       const auto& request = std::get<VacateRequest>(send->message);
       if (request.withdraw)
         return;
       bool busy = busy_.contains(request.server);
-      keeper_->OnVacateAnswer(
+      coordinator_->OnVacateAnswer(
           now_, {request.pool, request.server,
                  busy ? VacateState::kEmptying : VacateState::kEmpty, 1});
     } else if (const auto* call = std::get_if<HostCall>(&action)) {
-      keeper_->OnHostReply(now_, {call->tag, Apply(call->request), {}},
-                           outbox_);
+      coordinator_->OnHostReply(now_, {call->tag, Apply(call->request), {}},
+                                outbox_);
     }
   }
 
@@ -161,7 +163,7 @@
   MemoryTable table_;
   JobConfig config_;
   std::vector<HostListing> hosts_;
-  std::unique_ptr<FleetKeeper> keeper_;
+  std::unique_ptr<FleetCoordinator> coordinator_;
   FencingToken token_ = 0;
   int next_server_ = 1;
 };
@@ -170,8 +172,8 @@
   return {1, std::move(hosts), Seconds(25), 2};
 }
 
-TEST_CASE("each host of a wave is maintained once", "[keeper]") {
-  KeeperSite site;
+TEST_CASE("each host of a wave is maintained once", "[coordinator]") {
+  FleetCoordinatorHarness site;
   site.waves_ = {WaveOver({HostId("h0"), HostId("h5"), HostId("h9")})};
   site.TakeOver();
   site.Run(Seconds(10));
@@ -180,8 +182,8 @@
 }
 
 // A later move of a host must not make a successor forget its maintenance.
-TEST_CASE("a successor knows which hosts are done", "[keeper]") {
-  KeeperSite site;
+TEST_CASE("a successor knows which hosts are done", "[coordinator]") {
+  FleetCoordinatorHarness site;
   site.waves_ = {WaveOver({HostId("h8"), HostId("h9"), HostId("h10")})};
   site.TakeOver();
   site.demand_[PoolId("a")] = 10;
@@ -199,8 +201,8 @@
 
 // A call that was refused for its rate must not be repeated on an old word that
 // the server is empty.
-TEST_CASE("a throttled call asks the pool's owner again", "[keeper]") {
-  KeeperSite site;
+TEST_CASE("a throttled call asks the pool's owner again", "[coordinator]") {
+  FleetCoordinatorHarness site;
   site.waves_ = {WaveOver({HostId("h0")})};
   site.throttle_ = true;
   site.TakeOver();
@@ -217,8 +219,8 @@
 }
 
 // Waves that have time leave a pool whose queue peaks alone.
-TEST_CASE("a busy pool is maintained later", "[keeper]") {
-  KeeperSite site;
+TEST_CASE("a busy pool is maintained later", "[coordinator]") {
+  FleetCoordinatorHarness site;
   site.waves_ = {WaveOver({HostId("h0"), HostId("h5")})};
   site.demand_[PoolId("a")] = 60;
   site.TakeOver();
@@ -229,8 +231,8 @@
 }
 
 // A successor must not take the time of a wave to begin with its own.
-TEST_CASE("a wave that began long ago does not wait", "[keeper]") {
-  KeeperSite site;
+TEST_CASE("a wave that began long ago does not wait", "[coordinator]") {
+  FleetCoordinatorHarness site;
   site.waves_ = {WaveOver({HostId("h0")})};
   site.demand_[PoolId("a")] = 60;
   site.wave_seen_ = kTimeZero + Seconds(80);
@@ -240,10 +242,11 @@
 }
 
 // Guards against a successor that leaves all hosts alone for the time that two
-// holders of one host's duties must be apart: no pool grew for 3 s. Only hosts
-// that were called lately have to wait.
-TEST_CASE("a successor waits only for hosts with recent calls", "[keeper]") {
-  KeeperSite site;
+// owners of one host's operations must be apart: no pool grew for 3 s. Only
+// hosts that were called lately have to wait.
+TEST_CASE("a successor waits only for hosts with recent calls",
+          "[coordinator]") {
+  FleetCoordinatorHarness site;
   site.waves_ = {WaveOver({HostId("h8")})};
   site.TakeOver();
   site.demand_[PoolId("a")] = 10;
@@ -265,8 +268,8 @@
 
 // Guards against calls each half second for a host that is lost: 50 in one
 // incident, each of which is paid for.
-TEST_CASE("a host that is down is not called", "[keeper]") {
-  KeeperSite site;
+TEST_CASE("a host that is down is not called", "[coordinator]") {
+  FleetCoordinatorHarness site;
   site.waves_ = {WaveOver({HostId("h8"), HostId("h9")})};
   site.down_ = {HostId("h8")};
   site.TakeOver();
@@ -277,9 +280,9 @@
 
 // Guards against a successor that meets a regular peak late since it has not
 // seen the turns before.
-TEST_CASE("a successor brings hosts ahead of a turn", "[keeper]") {
+TEST_CASE("a successor brings hosts ahead of a turn", "[coordinator]") {
   constexpr Duration kTurn = Milliseconds(4500);
-  KeeperSite site;
+  FleetCoordinatorHarness site;
   site.demand_[PoolId("a")] = 10;
   site.demand_[PoolId("b")] = 10;
   Time start = site.now() - kTurn * 4;
@@ -297,16 +300,19 @@
 
 // Guards against a successor that reads only the first page of the rows: it
 // would maintain hosts again, and call others too soon after an earlier call.
-TEST_CASE("a successor reads all rows of earlier keepers", "[keeper]") {
-  KeeperSite site;
-  PoolId fleet(kFleetPool);
+TEST_CASE("a successor reads all rows of earlier coordinators",
+          "[coordinator]") {
+  FleetCoordinatorHarness site;
+  PoolId fleet(kFleetPseudoPool);
   for (int i = 0; i < 1200; ++i) {
     HostId host("a" + std::to_string(i));
-    site.PutDuty(DutyKey(fleet, host), {host, DutyKind::kMove, PoolId("a")});
+    site.PutHostOperation(HostOperationKey(fleet, host),
+                          {host, HostOperationKind::kMove, PoolId("a")});
   }
   HostId done("h8");
-  site.PutDuty(MaintainedKey(fleet, done, 1),
-               {done, DutyKind::kMaintained, PoolId("spare"), 1});
+  site.PutHostOperation(
+      MaintainedKey(fleet, done, 1),
+      {done, HostOperationKind::kMaintained, PoolId("spare"), 1});
   site.waves_ = {WaveOver({done, HostId("h9")})};
   site.TakeOver();
   site.Run(Seconds(6));
--- a/radishmoor/jobs/testing/fleet_sizing_test.cc
+++ b/radishmoor/jobs/testing/fleet_sizing_test.cc
@@ -9,8 +9,8 @@
 const Time kStart = kTimeZero + Seconds(100);
 constexpr Duration kPeriod = Milliseconds(200);
 
-PoolSize Pool(const char* name, double demand, uint32_t hosts) {
-  PoolSize pool;
+PoolSizingInput Pool(const char* name, double demand, uint32_t hosts) {
+  PoolSizingInput pool;
   pool.pool = PoolId(name);
   pool.demand_cores = demand;
   pool.cores_per_host = 16;
@@ -20,8 +20,8 @@
   return pool;
 }
 
-PoolSize Standby(uint32_t hosts) {
-  PoolSize pool;
+PoolSizingInput Standby(uint32_t hosts) {
+  PoolSizingInput pool;
   pool.pool = PoolId("standby");
   pool.standby = true;
   pool.hosts = hosts;
@@ -31,9 +31,10 @@
 }
 
 // Carries the moves out at once.
-void Apply(const std::vector<HostMoves>& moves, std::vector<PoolSize>& pools) {
+void Apply(const std::vector<HostMoves>& moves,
+           std::vector<PoolSizingInput>& pools) {
   for (const HostMoves& move : moves) {
-    for (PoolSize& pool : pools) {
+    for (PoolSizingInput& pool : pools) {
       if (pool.pool == move.from) {
         pool.hosts -= move.count;
         pool.spare_hosts -= move.count;
@@ -54,10 +55,10 @@
 
 // Four queues ask in turn for more than their pools hold, eight seconds each.
 Played PlayTurns(bool elastic) {
-  std::vector<PoolSize> pools = {Pool("a", 5, 9), Pool("b", 5, 9),
-                                 Pool("c", 5, 11), Pool("d", 5, 12),
-                                 Standby(8)};
-  TurnForecast forecast;
+  std::vector<PoolSizingInput> pools = {Pool("a", 5, 9), Pool("b", 5, 9),
+                                        Pool("c", 5, 11), Pool("d", 5, 12),
+                                        Standby(8)};
+  PeakForecast forecast;
   FleetSizing sizing(false, forecast);
   Played played;
   int steps = static_cast<int>(Seconds(34) / kPeriod);
@@ -96,9 +97,9 @@
 
 // Guards against hosts that go to and fro.
 TEST_CASE("a short lull moves nothing", "[sizing]") {
-  TurnForecast forecast;
+  PeakForecast forecast;
   FleetSizing sizing(false, forecast);
-  std::vector<PoolSize> pools = {Pool("a", 120, 9), Standby(4)};
+  std::vector<PoolSizingInput> pools = {Pool("a", 120, 9), Standby(4)};
   Time now = kStart;
   for (int i = 0; i < 10; ++i, now += kPeriod)
     Apply(sizing.Plan(now, pools, 8), pools);
@@ -112,9 +113,9 @@
 // Guards against a shortage that is met again and again while hosts are being
 // emptied for it: 2.5 times as many hosts as needed came to a pool.
 TEST_CASE("hosts that are being emptied for a pool count for it", "[sizing]") {
-  TurnForecast forecast;
+  PeakForecast forecast;
   FleetSizing sizing(false, forecast);
-  std::vector<PoolSize> pools = {Pool("a", 400, 9), Standby(200)};
+  std::vector<PoolSizingInput> pools = {Pool("a", 400, 9), Standby(200)};
   uint32_t moved = 0;
   for (int i = 0; i < 10; ++i) {
     for (const HostMoves& move : sizing.Plan(kStart + kPeriod * i, pools, 50))
@@ -129,9 +130,9 @@
 // Guards against a pool that is taken for large while half of its servers
 // cannot be reached.
 TEST_CASE("silent servers are no capacity", "[sizing]") {
-  TurnForecast forecast;
+  PeakForecast forecast;
   FleetSizing sizing(false, forecast);
-  std::vector<PoolSize> pools = {Pool("a", 100, 8), Standby(20)};
+  std::vector<PoolSizingInput> pools = {Pool("a", 100, 8), Standby(20)};
   REQUIRE(sizing.Plan(kStart, pools, 8).empty());
   pools[0].silent = 4;
   REQUIRE_FALSE(sizing.Plan(kStart + kPeriod, pools, 8).empty());
@@ -139,9 +140,9 @@
 
 // Guards against hosts that come only once tasks pile up.
 TEST_CASE("work that arrives is met before it piles up", "[sizing]") {
-  TurnForecast forecast;
+  PeakForecast forecast;
   FleetSizing sizing(false, forecast);
-  std::vector<PoolSize> pools = {Pool("a", 20, 4), Standby(200)};
+  std::vector<PoolSizingInput> pools = {Pool("a", 20, 4), Standby(200)};
   pools[0].offered_cores = 600;
   uint32_t moved = 0;
   for (const HostMoves& move : sizing.Plan(kStart, pools, 100))
@@ -152,8 +153,8 @@
 // Guards against emptying pools before the first callers come, and against a
 // successor that waits in the same way while a pool is short of hosts.
 TEST_CASE("a new site keeps its pools until it is used", "[sizing]") {
-  std::vector<PoolSize> pools = {Pool("a", 0, 9), Pool("b", 10, 9)};
-  TurnForecast forecast;
+  std::vector<PoolSizingInput> pools = {Pool("a", 0, 9), Pool("b", 10, 9)};
+  PeakForecast forecast;
   FleetSizing fresh(true, forecast);
   FleetSizing successor(false, forecast);
   for (int i = 0; i < 20; ++i)
@@ -166,9 +167,9 @@
 // Guards against taking hosts that long-running tasks need, or that cannot be
 // emptied.
 TEST_CASE("a pool gives only what it can spare", "[sizing]") {
-  TurnForecast forecast;
+  PeakForecast forecast;
   FleetSizing sizing(false, forecast);
-  std::vector<PoolSize> pools = {Pool("a", 0, 9), Pool("b", 400, 9)};
+  std::vector<PoolSizingInput> pools = {Pool("a", 0, 9), Pool("b", 400, 9)};
   pools[0].min_hosts = 7;
   uint32_t given = 0;
   for (int i = 0; i < 30; ++i) {
@@ -185,9 +186,9 @@
 
 // Guards against decisions from figures of an owner that is not heard.
 TEST_CASE("pools with unknown demand are left alone", "[sizing]") {
-  TurnForecast forecast;
+  PeakForecast forecast;
   FleetSizing sizing(false, forecast);
-  std::vector<PoolSize> pools = {Pool("a", 0, 9), Pool("b", 400, 9)};
+  std::vector<PoolSizingInput> pools = {Pool("a", 0, 9), Pool("b", 400, 9)};
   pools[0].known = false;
   for (int i = 0; i < 30; ++i)
     REQUIRE(sizing.Plan(kStart + kPeriod * i, pools, 8).empty());
