--- a/radishmoor/jobs/testing/job_codec_test.cc
+++ b/radishmoor/jobs/testing/job_codec_test.cc
@@ -2,8 +2,8 @@
 #include <rapidcheck/catch.h>
 #include <catch2/catch.hpp>
 
+#include "radishmoor/jobs/job_peer_codec.h"
 #include "radishmoor/jobs/job_rows.h"
-#include "radishmoor/jobs/peer_frames.h"
 
 namespace radishmoor {
 namespace {
@@ -72,18 +72,18 @@
 }
 
 TEST_CASE("messages survive their encoding", "[codec]") {
-  OwnerBeat beat;
-  beat.pool = PoolId("p");
-  beat.token = 4;
-  beat.queues = {{QueueId("q"), 12, Milliseconds(700)}};
-  beat.spare_servers = {ServerId("s1"), ServerId("s2")};
-  beat.min_servers = 5;
+  OwnerHeartbeat heartbeat;
+  heartbeat.pool = PoolId("p");
+  heartbeat.token = 4;
+  heartbeat.queues = {{QueueId("q"), 12, Milliseconds(700)}};
+  heartbeat.spare_servers = {ServerId("s1"), ServerId("s2")};
+  heartbeat.min_servers = 5;
   std::optional<JobPeerEnvelope> envelope =
-      DecodeJobPeer(EncodeJobPeer({MemberId("n"), "10.0.0.1:1", beat}));
+      DecodeJobPeer(EncodeJobPeer({MemberId("n"), "10.0.0.1:1", heartbeat}));
   REQUIRE(envelope);
-  const auto& decoded = std::get<OwnerBeat>(envelope->message);
+  const auto& decoded = std::get<OwnerHeartbeat>(envelope->message);
   REQUIRE(decoded.queues[0].pending == 12);
-  REQUIRE(decoded.spare_servers == beat.spare_servers);
+  REQUIRE(decoded.spare_servers == heartbeat.spare_servers);
   REQUIRE(decoded.min_servers == 5);
 
   JobNotice notice{PoolId("p"), JobId("j"), SampleJob(), Milliseconds(5), 77};
@@ -101,7 +101,7 @@
     DecodeProgress(bytes);
     DecodeLease(bytes);
     DecodeNode(bytes);
-    DecodeDuty(bytes);
+    DecodeHostOperation(bytes);
     DecodeJobPeer(bytes);
   });
   rc::prop("cut rows never throw", [] {
--- a/radishmoor/jobs/testing/job_recovery_bench.cc
+++ b/radishmoor/jobs/testing/job_recovery_bench.cc
@@ -13,7 +13,7 @@
 #include <iostream>
 #include <vector>
 
-#include "radishmoor/jobs/testing/job_world.h"
+#include "radishmoor/jobs/testing/job_simulation.h"
 
 namespace {
 
@@ -24,24 +24,26 @@
 
 struct Loss {
   const char* name;
-  std::function<void(JobWorld&, int node)> strike;
+  std::function<void(JobSimulation&, int node)> strike;
 };
 
 const std::vector<Loss>& Losses() {
   static const std::vector<Loss> losses = {
       {"killed, back after 0.5 s",
-       [](JobWorld& world, int node) {
+       [](JobSimulation& world, int node) {
          world.KillNode(node, Milliseconds(500));
        }},
       {"power lost",
-       [](JobWorld& world, int node) { world.KillNode(node, kAway); }},
+       [](JobSimulation& world, int node) { world.KillNode(node, kAway); }},
       {"suspended",
-       [](JobWorld& world, int node) { world.FreezeNode(node, kAway); }},
+       [](JobSimulation& world, int node) { world.FreezeNode(node, kAway); }},
       {"cut off from the store",
-       [](JobWorld& world, int node) { world.CutNodeFromStore(node, kAway); }},
+       [](JobSimulation& world, int node) {
+         world.CutNodeFromStore(node, kAway);
+       }},
       {"cut off from all",
-       [](JobWorld& world, int node) { world.CutNodeOff(node, kAway); }},
-      {"SIGTERM", [](JobWorld& world, int node) { world.StopNode(node); }},
+       [](JobSimulation& world, int node) { world.CutNodeOff(node, kAway); }},
+      {"SIGTERM", [](JobSimulation& world, int node) { world.StopNode(node); }},
   };
   return losses;
 }
@@ -53,10 +55,10 @@
 };
 
 Recovery Measure(uint64_t seed, const Loss& loss) {
-  JobWorld world({.seed = seed,
-                  .nodes = kNodes,
-                  .servers_per_pool = 12,
-                  .jobs_per_second = 30});
+  JobSimulation world({.seed = seed,
+                       .nodes = kNodes,
+                       .servers_per_pool = 12,
+                       .jobs_per_second = 30});
   world.Run(Seconds(8));
   PoolId pool("alpha");
   int owner = world.OwnerOf(pool);
--- a/radishmoor/jobs/testing/job_world.cc
+++ b/radishmoor/jobs/testing/job_simulation.cc
@@ -1,4 +1,4 @@
-#include "radishmoor/jobs/testing/job_world.h"
+#include "radishmoor/jobs/testing/job_simulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-struct JobWorld::Node {
+struct JobSimulation::Node {
   MemberId name;
   std::string address;
   std::unique_ptr<NodeCore> core;
@@ -40,7 +40,7 @@
   Time wake_at = kTimeMax;
 };
 
-struct JobWorld::Server {
+struct JobSimulation::Server {
   struct Running {
     RunNumber run = 0;
     Time started;
@@ -49,7 +49,7 @@
     bool stopping = false;
     std::string checkpoint;
   };
-  struct HeldLook {
+  struct HeldPoll {
     std::function<void()> answer;
   };
 
@@ -61,7 +61,7 @@
   bool up = false;
   bool maintenance = false;
   uint64_t life = 0;
-  WallMillis born = 0;
+  WallMillis incarnation_started_at = 0;
   Time started;
   double rate = 1;
   Time ended_at;
@@ -73,10 +73,10 @@
   std::map<uint64_t, Time> end_times;  // By sequence.
   Time lapsed_at;                      // When the lease last lapsed.
   uint64_t next_end = 1;
-  std::vector<HeldLook> held;
+  std::vector<HeldPoll> held;
 };
 
-struct JobWorld::Caller {
+struct JobSimulation::Caller {
   JobId id;
   QueueId queue;
   PoolId pool;
@@ -95,7 +95,7 @@
   Time last_try;
 };
 
-JobWorld::JobWorld(const JobWorldOptions& options)
+JobSimulation::JobSimulation(const JobSimulationOptions& options)
     : options_(options), random_(options.seed) {
   config_.version = 1;
   for (const char* name : {"alpha", "beta"}) {
@@ -137,13 +137,13 @@
   }
 }
 
-JobWorld::~JobWorld() = default;
+JobSimulation::~JobSimulation() = default;
 
-void JobWorld::At(Time when, std::function<void()> run) {
+void JobSimulation::At(Time when, std::function<void()> run) {
   events_.push({when, next_order_++, std::move(run)});
 }
 
-void JobWorld::RunUntil(Time end) {
+void JobSimulation::RunUntil(Time end) {
   while (!events_.empty() && events_.top().at <= end) {
     Event event = events_.top();
     events_.pop();
@@ -154,15 +154,15 @@
   now_ = end;
 }
 
-Duration JobWorld::Latency() {
+Duration JobSimulation::Latency() {
   return random_.Between(Microseconds(200), Microseconds(3000));
 }
 
-WallMillis JobWorld::wall() const {
+WallMillis JobSimulation::wall() const {
   return 1'800'000'000'000 + now_.time_since_epoch().count() / 1000;
 }
 
-void JobWorld::Violation(std::string what) {
+void JobSimulation::Violation(std::string what) {
   violations_.push_back("at " +
                         std::to_string(now_.time_since_epoch().count() / 1000) +
                         " ms: " + std::move(what));
@@ -170,7 +170,7 @@
 
 // Nodes.
 
-void JobWorld::StartNode(int index) {
+void JobSimulation::StartNode(int index) {
   Node& node = *nodes_[static_cast<size_t>(index)];
   if (node.up)
     return;
@@ -186,9 +186,9 @@
   OnNode(index, life, [this](NodeCore& core) { core.Start(now_, wall()); });
 }
 
-void JobWorld::OnNode(int index,
-                      uint64_t life,
-                      std::function<void(NodeCore&)> step) {
+void JobSimulation::OnNode(int index,
+                           uint64_t life,
+                           std::function<void(NodeCore&)> step) {
   Node& node = *nodes_[static_cast<size_t>(index)];
   if (!node.up || node.life != life)
     return;
@@ -209,7 +209,7 @@
     Wake(index);
 }
 
-void JobWorld::Wake(int index) {
+void JobSimulation::Wake(int index) {
   Node& node = *nodes_[static_cast<size_t>(index)];
   Time when = std::max(node.core->next_wake(), now_ + Microseconds(200));
   if (node.core->next_wake() == kTimeMax || when >= node.wake_at)
@@ -223,7 +223,7 @@
   });
 }
 
-void JobWorld::Carry(int index, JobAction action) {
+void JobSimulation::Carry(int index, JobAction action) {
   Node& node = *nodes_[static_cast<size_t>(index)];
   uint64_t life = node.life;
   if (auto* call = std::get_if<StoreCall>(&action)) {
@@ -240,8 +240,8 @@
         core.OnServers(now_, wall(), reply);
       });
     });
-  } else if (auto* follow = std::get_if<FollowOperators>(&action)) {
-    CarryOperators(index, life, *follow);
+  } else if (auto* follow = std::get_if<WatchOperatorChanges>(&action)) {
+    DeliverOperatorChanges(index, life, *follow);
   } else if (auto* host_call = std::get_if<HostCall>(&action)) {
     CarryHostCall(index, life, *host_call);
   } else if (auto* report = std::get_if<ReportWave>(&action)) {
@@ -272,7 +272,7 @@
         });
       });
     }
-  } else if (auto* answer = std::get_if<AnswerCall>(&action)) {
+  } else if (auto* answer = std::get_if<JobCallAnswer>(&action)) {
     OnAnswer(*answer);
   } else if (std::holds_alternative<EndJobProcess>(action)) {
     node.up = false;
@@ -280,7 +280,9 @@
   }
 }
 
-void JobWorld::CarryStore(int index, uint64_t life, const StoreCall& call) {
+void JobSimulation::CarryStore(int index,
+                               uint64_t life,
+                               const StoreCall& call) {
   Node& node = *nodes_[static_cast<size_t>(index)];
   auto answer = [this, index, life, tag = call.tag](Duration delay,
                                                     StoreReply reply) {
@@ -324,15 +326,15 @@
     answer(timeout, UnknownReply{"lost"});
 }
 
-Duration JobWorld::Slowed(Duration usual) const {
+Duration JobSimulation::Slowed(Duration usual) const {
   return now_ < store_slow_until_
              ? Duration(static_cast<int64_t>(
                    store_factor_ * static_cast<double>(usual.count())))
              : usual;
 }
 
-std::optional<Time> JobWorld::StoreTurn(Time arrives,
-                                        const StoreRequest& request) {
+std::optional<Time> JobSimulation::StoreTurn(Time arrives,
+                                             const StoreRequest& request) {
   const auto* commit = std::get_if<CommitRows>(&request);
   if (commit == nullptr || commit->transaction.writes.empty())
     return arrives;
@@ -345,11 +347,11 @@
   return busy;
 }
 
-void JobWorld::CarryOperators(int index,
-                              uint64_t life,
-                              const FollowOperators& follow) {
+void JobSimulation::DeliverOperatorChanges(int index,
+                                           uint64_t life,
+                                           const WatchOperatorChanges& follow) {
   Node& node = *nodes_[static_cast<size_t>(index)];
-  OperatorsReply reply;
+  OperatorChanges reply;
   reply.tag = follow.tag;
   reply.answered = now_ >= node.store_cut_until && now_ >= store_down_until_;
   Duration delay = follow.after == 0 ? Latency() * 2 : follow.wait;
@@ -362,12 +364,14 @@
   }
   After(delay, [this, index, life, reply] {
     OnNode(index, life, [this, reply](NodeCore& core) {
-      core.OnOperators(now_, wall(), reply);
+      core.OnOperatorChanges(now_, wall(), reply);
     });
   });
 }
 
-void JobWorld::CarryHostCall(int index, uint64_t life, const HostCall& call) {
+void JobSimulation::CarryHostCall(int index,
+                                  uint64_t life,
+                                  const HostCall& call) {
   HostReply reply;
   reply.tag = call.tag;
   reply.outcome = HostOutcome::kDone;
@@ -422,7 +426,7 @@
   });
 }
 
-int JobWorld::OwnerOf(const PoolId& pool) const {
+int JobSimulation::OwnerOf(const PoolId& pool) const {
   for (int i = 0; i < options_.nodes; ++i) {
     if (Owns(i, pool))
       return i;
@@ -430,14 +434,14 @@
   return -1;
 }
 
-bool JobWorld::Owns(int index, const PoolId& pool) const {
+bool JobSimulation::Owns(int index, const PoolId& pool) const {
   const Node& node = *nodes_[static_cast<size_t>(index)];
   return node.up && node.core->pools().contains(pool);
 }
 
 // Servers.
 
-std::vector<ServerListing> JobWorld::Listings() const {
+std::vector<ServerListing> JobSimulation::Listings() const {
   std::vector<ServerListing> listings;
   for (const auto& server : servers_) {
     if (!server->up && now_ - server->ended_at > kListingLapse)
@@ -447,18 +451,18 @@
     listing.pool = server->pool;
     listing.address = server->address;
     listing.capacity = server->capacity;
-    listing.born = server->born;
+    listing.incarnation_started_at = server->incarnation_started_at;
     listings.push_back(std::move(listing));
   }
   return listings;
 }
 
-void JobWorld::StartServer(size_t index, ServerId id) {
+void JobSimulation::StartServer(size_t index, ServerId id) {
   Server& server = *servers_[index];
   server.id = std::move(id);
   server.up = true;
   ++server.life;
-  server.born = wall() + static_cast<WallMillis>(server.life);
+  server.incarnation_started_at = wall() + static_cast<WallMillis>(server.life);
   server.started = now_;
   server.fence = 0;
   server.lease_until = 0;
@@ -470,7 +474,7 @@
   server.lapsed_at = kTimeZero;
 }
 
-void JobWorld::EndServer(Server& server) {
+void JobSimulation::EndServer(Server& server) {
   server.up = false;
   server.ended_at = now_;
   server.running.clear();
@@ -478,15 +482,15 @@
   ++server.life;
 }
 
-ServerMillis JobWorld::ClockOf(const Server& server) const {
+ServerMillis JobSimulation::ClockOf(const Server& server) const {
   return static_cast<ServerMillis>(
       static_cast<double>((now_ - server.started).count()) / 1000 *
       server.rate);
 }
 
-void JobWorld::CarryOrder(int index,
-                          uint64_t life,
-                          const OrderToServer& order) {
+void JobSimulation::CarryOrder(int index,
+                               uint64_t life,
+                               const OrderToServer& order) {
   auto answer = [this, index, life](Duration delay, ServerReply reply) {
     After(delay, [this, index, life, reply = std::move(reply)] {
       OnNode(index, life, [this, reply](NodeCore& core) {
@@ -494,9 +498,10 @@
       });
     });
   };
-  const auto* look = std::get_if<ExtendLease>(&order.order);
-  Duration timeout =
-      look != nullptr ? look->wait + Milliseconds(400) : kOrderTimeout;
+  const auto* server_poll = std::get_if<PollServer>(&order.order);
+  Duration timeout = server_poll != nullptr
+                         ? server_poll->wait + Milliseconds(400)
+                         : kOrderTimeout;
   ServerReply lost;
   lost.tag = order.tag;
   lost.server = order.server;
@@ -507,7 +512,7 @@
   }
   if (target != nullptr && std::holds_alternative<StartRun>(order.order))
     last_start_by_[{index, target->pool}] = now_;
-  bool late = look == nullptr && random_.Chance(options_.late_orders);
+  bool late = server_poll == nullptr && random_.Chance(options_.late_orders);
   bool cut = now_ < nodes_[static_cast<size_t>(index)]->servers_cut_until;
   if (target == nullptr || cut) {
     answer(timeout, lost);
@@ -534,14 +539,14 @@
     reply.tag = order.tag;
     reply.server = order.server;
     if (target->id != order.server) {
-      reply.outcome = OrderOutcome::kOtherLife;
+      reply.outcome = OrderOutcome::kOtherIncarnation;
       if (!std::exchange(*answered, true))
         answer(Latency(), reply);
       return;
     }
     reply = Apply(*target, order);
-    const auto* look_order = std::get_if<ExtendLease>(&order.order);
-    bool holds = look_order != nullptr && look_order->wait > Duration::zero() &&
+    const auto* poll_order = std::get_if<PollServer>(&order.order);
+    bool holds = poll_order != nullptr && poll_order->wait > Duration::zero() &&
                  reply.outcome == OrderOutcome::kDone && reply.ended.empty();
     if (!holds) {
       if (!std::exchange(*answered, true))
@@ -555,21 +560,21 @@
       *answered = true;
       OrderToServer again = order;
       // The lease and the acknowledgement took effect at the arrival.
-      std::get<ExtendLease>(again.order) = {};
+      std::get<PollServer>(again.order) = {};
       answer(Latency(), Apply(*target, again));
     };
     target->held.push_back({finish});
-    After(look_order->wait, finish);
+    After(poll_order->wait, finish);
   });
 }
 
-ServerReply JobWorld::Apply(Server& server, const OrderToServer& order) {
+ServerReply JobSimulation::Apply(Server& server, const OrderToServer& order) {
   ExpireLeases(server);
   ServerReply reply;
   reply.tag = order.tag;
   reply.server = order.server;
   reply.clock = ClockOf(server);
-  reply.born = server.born;
+  reply.incarnation_started_at = server.incarnation_started_at;
   reply.outcome = OrderOutcome::kDone;
   if (order.token < server.fence) {
     reply.outcome = OrderOutcome::kFenced;
@@ -594,19 +599,19 @@
           EndRun(server, task, RunEnd::kStopped);
       });
     }
-  } else if (const auto* look = std::get_if<ExtendLease>(&order.order)) {
-    server.lease_until =
-        std::max(server.lease_until, std::min(look->lease_until, longest));
+  } else if (const auto* server_poll = std::get_if<PollServer>(&order.order)) {
+    server.lease_until = std::max(server.lease_until,
+                                  std::min(server_poll->lease_until, longest));
     for (const EndedRun& ended : server.ended) {
       auto caller = callers_.find(ended.task.job);
       // An end from before a lapse is not known to have been seen in time.
-      bool noted = ended.sequence <= look->acknowledged &&
+      bool noted = ended.sequence <= server_poll->acknowledged &&
                    server.lapsed_at < server.end_times[ended.sequence];
       if (noted && ended.end == RunEnd::kDone && caller != callers_.end())
         caller->second->done.try_emplace(ended.task, now_);
     }
-    std::erase_if(server.ended, [look](const EndedRun& ended) {
-      return ended.sequence <= look->acknowledged;
+    std::erase_if(server.ended, [server_poll](const EndedRun& ended) {
+      return ended.sequence <= server_poll->acknowledged;
     });
     for (const auto& [task, run] : server.running) {
       double share = static_cast<double>((now_ - run.started).count()) /
@@ -625,9 +630,9 @@
   return reply;
 }
 
-void JobWorld::ApplyStart(Server& server,
-                          const StartRun& start,
-                          ServerReply& reply) {
+void JobSimulation::ApplyStart(Server& server,
+                               const StartRun& start,
+                               ServerReply& reply) {
   auto it = server.running.find(start.task);
   if (it != server.running.end() && it->second.run == start.run)
     return;  // It is there already.
@@ -667,7 +672,7 @@
   });
 }
 
-void JobWorld::CheckStart(const Server& server, const StartRun& start) {
+void JobSimulation::CheckStart(const Server& server, const StartRun& start) {
   std::string name = FormatTask(start.task);
   auto found = callers_.find(start.task.job);
   if (found == callers_.end()) {
@@ -724,7 +729,7 @@
     Violation(name + " starts after its last attempt failed");
 }
 
-void JobWorld::EndRun(Server& server, const TaskId& task, RunEnd end) {
+void JobSimulation::EndRun(Server& server, const TaskId& task, RunEnd end) {
   auto it = server.running.find(task);
   RunNumber run = it->second.run;
   server.running.erase(it);
@@ -740,11 +745,11 @@
     else if (end == RunEnd::kFailed && failures != UINT32_MAX)
       ++failures;
   }
-  for (Server::HeldLook& held : std::exchange(server.held, {}))
+  for (Server::HeldPoll& held : std::exchange(server.held, {}))
     held.answer();
 }
 
-void JobWorld::ExpireLeases(Server& server) {
+void JobSimulation::ExpireLeases(Server& server) {
   if (!server.up || ClockOf(server) <= server.lease_until)
     return;
   server.lapsed_at = now_;
@@ -752,17 +757,17 @@
   for (const auto& [task, run] : server.running)
     lapsed.push_back(task);
   for (const TaskId& task : lapsed) {
-    // The answer to a look that was held back may have ended it by now.
+    // The answer to a poll that was held back may have ended it by now.
     if (!server.running.contains(task))
       continue;
     ++counts_.lapsed;
-    EndRun(server, task, RunEnd::kLeaseLapsed);
+    EndRun(server, task, RunEnd::kLeaseExpired);
   }
 }
 
 // Callers.
 
-void JobWorld::SubmitJob() {
+void JobSimulation::SubmitJob() {
   submitting_ = callers_on_;
   if (!callers_on_)
     return;
@@ -805,7 +810,7 @@
            radishmoor::SubmitJob{"jobs.example", added.path, added.spec});
 }
 
-void JobWorld::SendCall(Caller& caller, JobCallRequest request) {
+void JobSimulation::SendCall(Caller& caller, JobCallRequest request) {
   int index = static_cast<int>(random_.Below(nodes_.size()));
   Node& node = *nodes_[static_cast<size_t>(index)];
   JobCall call;
@@ -836,7 +841,7 @@
   });
 }
 
-void JobWorld::OnAnswer(const AnswerCall& answer) {
+void JobSimulation::OnAnswer(const JobCallAnswer& answer) {
   auto call = calls_.extract(answer.id);
   if (call.empty())
     return;
@@ -902,7 +907,7 @@
   }
 }
 
-void JobWorld::PollJob(const JobId& id) {
+void JobSimulation::PollJob(const JobId& id) {
   Caller& caller = *callers_.at(id);
   if (caller.shown && IsFinal(*caller.shown))
     return;
@@ -913,7 +918,7 @@
   After(Milliseconds(500), [this, id] { PollJob(id); });
 }
 
-size_t JobWorld::unfinished() const {
+size_t JobSimulation::unfinished() const {
   size_t open = 0;
   for (const auto& [id, caller] : callers_) {
     bool ended = caller->shown && IsFinal(*caller->shown);
@@ -925,7 +930,7 @@
 
 // Faults.
 
-void JobWorld::KillNode(int index, Duration down) {
+void JobSimulation::KillNode(int index, Duration down) {
   Node& node = *nodes_[static_cast<size_t>(index)];
   if (!node.up)
     return;
@@ -934,31 +939,31 @@
   After(down, [this, index] { StartNode(index); });
 }
 
-void JobWorld::StopNode(int index) {
+void JobSimulation::StopNode(int index) {
   Node& node = *nodes_[static_cast<size_t>(index)];
   OnNode(index, node.life,
          [this](NodeCore& core) { core.Shutdown(now_, wall()); });
 }
 
-void JobWorld::FreezeNode(int index, Duration length) {
+void JobSimulation::FreezeNode(int index, Duration length) {
   nodes_[static_cast<size_t>(index)]->frozen_until = now_ + length;
 }
 
-void JobWorld::CutNodeFromStore(int index, Duration length) {
+void JobSimulation::CutNodeFromStore(int index, Duration length) {
   nodes_[static_cast<size_t>(index)]->store_cut_until = now_ + length;
 }
 
-void JobWorld::CutNodeFromServers(int index, Duration length) {
+void JobSimulation::CutNodeFromServers(int index, Duration length) {
   nodes_[static_cast<size_t>(index)]->servers_cut_until = now_ + length;
 }
 
-void JobWorld::CutNodeOff(int index, Duration length) {
+void JobSimulation::CutNodeOff(int index, Duration length) {
   CutNodeFromStore(index, length);
   CutNodeFromServers(index, length);
   nodes_[static_cast<size_t>(index)]->peers_cut_until = now_ + length;
 }
 
-void JobWorld::CrashServer(int index, Duration down, bool same_id) {
+void JobSimulation::CrashServer(int index, Duration down, bool same_id) {
   auto i = static_cast<size_t>(index);
   Server& server = *servers_[i];
   if (!server.up)
@@ -973,21 +978,22 @@
   });
 }
 
-std::optional<Time> JobWorld::LastStartBy(int node, const PoolId& pool) const {
+std::optional<Time> JobSimulation::LastStartBy(int node,
+                                               const PoolId& pool) const {
   auto it = last_start_by_.find({node, pool});
   return it == last_start_by_.end() ? std::nullopt : std::optional(it->second);
 }
 
-void JobWorld::SlowStore(double factor, Duration length) {
+void JobSimulation::SlowStore(double factor, Duration length) {
   store_factor_ = factor;
   store_slow_until_ = now_ + length;
 }
 
-void JobWorld::StoreOutage(Duration length) {
+void JobSimulation::StoreOutage(Duration length) {
   store_down_until_ = now_ + length;
 }
 
-void JobWorld::RandomFault() {
+void JobSimulation::RandomFault() {
   if (!faults_)
     return;
   After(random_.Exponential(options_.fault_period), [this] { RandomFault(); });
@@ -1026,7 +1032,7 @@
   }
 }
 
-void JobWorld::Run(Duration length) {
+void JobSimulation::Run(Duration length) {
   callers_on_ = true;
   if (!submitting_) {
     submitting_ = true;
@@ -1039,7 +1045,7 @@
   RunUntil(now_ + length);
 }
 
-void JobWorld::Settle() {
+void JobSimulation::Settle() {
   callers_on_ = false;
   faults_ = false;
   options_.lost_answers = 0;
--- a/radishmoor/jobs/testing/job_world.h
+++ b/radishmoor/jobs/testing/job_simulation.h
@@ -2,13 +2,13 @@
 // hosts, the store and callers, with faults drawn from a seed. What must always
 // hold is checked where it shows: at the servers and at the callers.
 //
-//   JobWorld world({.seed = 7});
+//   JobSimulation world({.seed = 7});
 //   world.Run(Seconds(40));
 //   world.Settle();
 //   REQUIRE(world.violations().empty());
 
-#ifndef RADISHMOOR_JOBS_TESTING_JOB_WORLD_H_
-#define RADISHMOOR_JOBS_TESTING_JOB_WORLD_H_
+#ifndef RADISHMOOR_JOBS_TESTING_JOB_SIMULATION_H_
+#define RADISHMOOR_JOBS_TESTING_JOB_SIMULATION_H_
 
 #include <cstdint>
 #include <functional>
@@ -25,7 +25,7 @@
 
 namespace radishmoor {
 
-struct JobWorldOptions {
+struct JobSimulationOptions {
   uint64_t seed = 1;
   int nodes = 4;
   int servers_per_pool = 4;
@@ -39,7 +39,7 @@
   bool wave = false;
 };
 
-struct JobWorldCounts {
+struct JobSimulationCounts {
   uint64_t events = 0;
   uint64_t accepted = 0;
   uint64_t refused = 0;
@@ -52,10 +52,10 @@
   uint64_t maintained = 0;
 };
 
-class JobWorld {
+class JobSimulation {
  public:
-  explicit JobWorld(const JobWorldOptions& options);
-  ~JobWorld();
+  explicit JobSimulation(const JobSimulationOptions& options);
+  ~JobSimulation();
 
   // Runs with callers and faults.
   void Run(Duration length);
@@ -63,7 +63,7 @@
   void Settle();
 
   const std::vector<std::string>& violations() const { return violations_; }
-  const JobWorldCounts& counts() const { return counts_; }
+  const JobSimulationCounts& counts() const { return counts_; }
   // Accepted jobs that have not ended and were not cancelled.
   size_t unfinished() const;
 
@@ -123,7 +123,9 @@
   Duration Slowed(Duration usual) const;
   void CarryOrder(int index, uint64_t life, const OrderToServer& order);
   void CarryHostCall(int index, uint64_t life, const HostCall& call);
-  void CarryOperators(int index, uint64_t life, const FollowOperators& follow);
+  void DeliverOperatorChanges(int index,
+                              uint64_t life,
+                              const WatchOperatorChanges& follow);
   std::vector<ServerListing> Listings() const;
 
   void StartServer(size_t index, ServerId id);
@@ -137,11 +139,11 @@
 
   void SubmitJob();
   void SendCall(Caller& caller, JobCallRequest request);
-  void OnAnswer(const AnswerCall& answer);
+  void OnAnswer(const JobCallAnswer& answer);
   void PollJob(const JobId& id);
   void RandomFault();
 
-  JobWorldOptions options_;
+  JobSimulationOptions options_;
   Random random_;
   Time now_ = kTimeZero + Seconds(1000);
   uint64_t next_order_ = 0;
@@ -167,9 +169,9 @@
   bool callers_on_ = false;
   bool submitting_ = false;  // The next submission is scheduled.
   std::vector<std::string> violations_;
-  JobWorldCounts counts_;
+  JobSimulationCounts counts_;
 };
 
 }  // namespace radishmoor
 
-#endif  // RADISHMOOR_JOBS_TESTING_JOB_WORLD_H_
+#endif  // RADISHMOOR_JOBS_TESTING_JOB_SIMULATION_H_
--- a/radishmoor/jobs/testing/job_world_test.cc
+++ b/radishmoor/jobs/testing/job_simulation_test.cc
@@ -1,11 +1,11 @@
 #include <catch2/catch.hpp>
 
-#include "radishmoor/jobs/testing/job_world.h"
+#include "radishmoor/jobs/testing/job_simulation.h"
 
 namespace radishmoor {
 namespace {
 
-void RequireSound(const JobWorld& world) {
+void RequireSound(const JobSimulation& world) {
   for (const std::string& violation : world.violations())
     UNSCOPED_INFO(violation);
   REQUIRE(world.violations().empty());
@@ -15,7 +15,7 @@
 // Guards against a scheduler that loses, doubles or never ends jobs without any
 // fault.
 TEST_CASE("all jobs of a calm site end", "[world]") {
-  JobWorld world({.seed = 1});
+  JobSimulation world({.seed = 1});
   world.Run(Seconds(30));
   world.Settle();
   RequireSound(world);
@@ -29,10 +29,10 @@
 TEST_CASE("what must hold does under random faults", "[world]") {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
     INFO("seed " << seed);
-    JobWorld world({.seed = seed,
-                    .fault_period = Milliseconds(1500),
-                    .lost_answers = 0.05,
-                    .late_orders = 0.03});
+    JobSimulation world({.seed = seed,
+                         .fault_period = Milliseconds(1500),
+                         .lost_answers = 0.05,
+                         .late_orders = 0.03});
     world.Run(Seconds(40));
     world.Settle();
     RequireSound(world);
@@ -44,7 +44,7 @@
 TEST_CASE("a wave empties each host before its maintenance", "[world]") {
   for (uint64_t seed = 1; seed <= 3; ++seed) {
     INFO("seed " << seed);
-    JobWorld world({.seed = seed, .jobs_per_second = 3, .wave = true});
+    JobSimulation world({.seed = seed, .jobs_per_second = 3, .wave = true});
     world.Run(Seconds(40));
     world.Settle();
     RequireSound(world);
@@ -57,7 +57,7 @@
 TEST_CASE("two changes of the owner while one is cut off", "[world]") {
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     INFO("seed " << seed);
-    JobWorld world({.seed = seed, .nodes = 5});
+    JobSimulation world({.seed = seed, .nodes = 5});
     world.Run(Seconds(8));
     PoolId pool("alpha");
     int first = world.OwnerOf(pool);
@@ -82,16 +82,16 @@
 TEST_CASE("a slow store is left to the owner's commits", "[world]") {
   for (uint64_t seed = 1; seed <= 4; ++seed) {
     INFO("seed " << seed);
-    JobWorld world({.seed = seed,
-                    .nodes = 8,
-                    .servers_per_pool = 12,
-                    .jobs_per_second = 40});
+    JobSimulation world({.seed = seed,
+                         .nodes = 8,
+                         .servers_per_pool = 12,
+                         .jobs_per_second = 40});
     world.Run(Seconds(8));
     world.SlowStore(100, Milliseconds(3600));
     world.Run(Milliseconds(3600));
     // The store is well; callers who repeat their calls are let in again soon.
     world.Run(Milliseconds(1500));
-    JobWorldCounts before = world.counts();
+    JobSimulationCounts before = world.counts();
     world.Run(Seconds(3));
     uint64_t accepted = world.counts().accepted - before.accepted;
     uint64_t refused = world.counts().refused - before.refused;
@@ -107,10 +107,10 @@
 TEST_CASE("a cut-off owner is replaced soon", "[world]") {
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     INFO("seed " << seed);
-    JobWorld world({.seed = seed,
-                    .nodes = 6,
-                    .servers_per_pool = 12,
-                    .jobs_per_second = 30});
+    JobSimulation world({.seed = seed,
+                         .nodes = 6,
+                         .servers_per_pool = 12,
+                         .jobs_per_second = 30});
     world.Run(Seconds(8));
     PoolId pool("alpha");
     int first = world.OwnerOf(pool);
@@ -139,10 +139,10 @@
 TEST_CASE("the loss of an owner ends no run", "[world]") {
   for (int kind = 0; kind < 4; ++kind) {
     INFO("kind " << kind);
-    JobWorld world({.seed = 21,
-                    .nodes = 6,
-                    .servers_per_pool = 12,
-                    .jobs_per_second = 30});
+    JobSimulation world({.seed = 21,
+                         .nodes = 6,
+                         .servers_per_pool = 12,
+                         .jobs_per_second = 30});
     world.Run(Seconds(8));
     int owner = world.OwnerOf(PoolId("alpha"));
     switch (kind) {
--- a/radishmoor/jobs/testing/job_soak_bench.cc
+++ b/radishmoor/jobs/testing/job_soak_bench.cc
@@ -9,14 +9,14 @@
 #include <cstdint>
 #include <iostream>
 
-#include "radishmoor/jobs/testing/job_world.h"
+#include "radishmoor/jobs/testing/job_simulation.h"
 
 namespace {
 
 using namespace radishmoor;  // NOLINT(google-build-using-namespace)
 
-JobWorldOptions OptionsOf(uint64_t seed) {
-  JobWorldOptions options;
+JobSimulationOptions OptionsOf(uint64_t seed) {
+  JobSimulationOptions options;
   options.seed = seed;
   options.nodes = 3 + static_cast<int>(seed % 4);
   options.fault_period = Milliseconds(600 + 400 * static_cast<int>(seed % 5));
@@ -41,7 +41,7 @@
   uint64_t violations = 0;
   uint64_t next = seed.getValue();
   for (; total < events.getValue(); ++next) {
-    JobWorld world(OptionsOf(next));
+    JobSimulation world(OptionsOf(next));
     world.Run(Seconds(60));
     world.Settle();
     total += world.counts().events;
--- a/radishmoor/jobs/testing/node_core_test.cc
+++ b/radishmoor/jobs/testing/node_core_test.cc
@@ -45,9 +45,9 @@
 
   void Collect() {
     for (const JobAction& action : core_.TakeActions()) {
-      if (const auto* follow = std::get_if<FollowOperators>(&action))
+      if (const auto* follow = std::get_if<WatchOperatorChanges>(&action))
         Answer(*follow);
-      if (const auto* answer = std::get_if<AnswerCall>(&action))
+      if (const auto* answer = std::get_if<JobCallAnswer>(&action))
         answered = {now, answer->outcome};
       if (std::holds_alternative<EndJobProcess>(action))
         ended = now;
@@ -68,15 +68,15 @@
   std::optional<Time> ended;
 
  private:
-  void Answer(const FollowOperators& follow) {
+  void Answer(const WatchOperatorChanges& follow) {
     if (follow.after != 0)
       return;
-    OperatorsReply reply;
+    OperatorChanges reply;
     reply.tag = follow.tag;
     reply.answered = true;
     reply.version = 1;
     reply.config = OneQueue();
-    core_.OnOperators(now, 0, reply);
+    core_.OnOperatorChanges(now, 0, reply);
     Collect();
   }
 
--- a/radishmoor/jobs/testing/turn_forecast_test.cc
+++ b/radishmoor/jobs/testing/peak_forecast_test.cc
@@ -1,4 +1,4 @@
-#include "radishmoor/jobs/turn_forecast.h"
+#include "radishmoor/jobs/peak_forecast.h"
 
 #include <array>
 #include <catch2/catch.hpp>
@@ -21,7 +21,7 @@
                                       PoolId("d")};
 
 // Observes one moment in which `peaking` is offered its peak.
-void ObserveTurn(TurnForecast& forecast, Time now, const PoolId& peaking) {
+void ObserveTurn(PeakForecast& forecast, Time now, const PoolId& peaking) {
   for (const PoolId& pool : kPools)
     forecast.Observe(now, pool, pool == peaking ? kPeakCores : 10, kHostCores);
 }
@@ -29,7 +29,7 @@
 // Guards against hosts that come only after a foreseeable peak has begun, and
 // against hosts that are brought for a pool whose turn is not next.
 TEST_CASE("the next of regular turns is foreseen", "[forecast]") {
-  TurnForecast forecast;
+  PeakForecast forecast;
   for (Time now = kStart; now < kStart + 9 * kTurn; now += kPeriod) {
     auto turn = static_cast<size_t>((now - kStart) / kTurn);
     ObserveTurn(forecast, now, kPools[turn % 4]);
@@ -49,7 +49,7 @@
 
 // Guards against hosts that are held for a turn that does not come.
 TEST_CASE("nothing is foreseen after a turn has not come", "[forecast]") {
-  TurnForecast forecast;
+  PeakForecast forecast;
   Time now = kStart;
   for (; now < kStart + 4 * kTurn; now += kPeriod) {
     auto turn = static_cast<size_t>((now - kStart) / kTurn);
@@ -64,7 +64,7 @@
 
 // Guards against forecasts from peaks that come at random.
 TEST_CASE("irregular peaks are not foreseen", "[forecast]") {
-  TurnForecast forecast;
+  PeakForecast forecast;
   Random random(7);
   Time now = kStart;
   int foreseen = 0;
--- a/radishmoor/jobs/testing/task_dispatch_test.cc
+++ b/radishmoor/jobs/testing/task_dispatch_test.cc
@@ -10,7 +10,7 @@
 // A pool with one job, whose tasks run where the test says.
 class Pool {
  public:
-  explicit Pool(const StepSpec& step) : state_(PoolId("a"), JobBounds()) {
+  explicit Pool(const StepSpec& step) : state_(PoolId("a"), PlatformBounds()) {
     JobSpec spec;
     spec.queue = QueueId("q");
     spec.steps = {step};
@@ -23,7 +23,7 @@
     server.listing.address = "10.0.0.1:1";
     server.listing.capacity = {16000, 64000, 0};
     server.listed = true;
-    server.contact = kNow;
+    server.last_answer_at = kNow;
     server.clock.Observe(kNow, kNow, 1000);
     return server;
   }
@@ -35,7 +35,8 @@
     run.server = ServerId(server);
     run.phase = RunPhase::kRunning;
     run.percent = percent;
-    run.since = run.ordered = run.percent_changed = kNow - Milliseconds(100);
+    run.phase_since = run.start_sent_at = run.progress_changed_at =
+        kNow - Milliseconds(100);
     task.runs.push_back(run);
     state_.servers.AddRun(run.server,
                           {{job_->id, 0, task.step, task.index}, run.number},
@@ -47,7 +48,7 @@
     Outbox outbox;
     dispatch_.Review(kNow, outbox);
     size_t stops = 0;
-    for (const JobAction& action : outbox.Take()) {
+    for (const JobAction& action : outbox.TakeActions()) {
       const auto* order = std::get_if<OrderToServer>(&action);
       stops +=
           order != nullptr && std::holds_alternative<StopRun>(order->order);
@@ -85,7 +86,7 @@
   REQUIRE(pool.Stops() == 0);
 }
 
-// A task that had not finished its start-up at the last look may be at work by
+// A task that had not finished its start-up at the last poll may be at work by
 // now, so that stopping it counts.
 TEST_CASE("a starting task is not stopped while others are missing",
           "[dispatch]") {
@@ -117,9 +118,9 @@
   pool.AddServer("s1");
   Run& run = pool.AddRun(0, "s1", 40);
   REQUIRE(pool.Stops() == 0);
-  run.since = run.percent_changed = kNow - Seconds(3);
+  run.phase_since = run.progress_changed_at = kNow - Seconds(3);
   REQUIRE(pool.Stops() == 1);
-  REQUIRE(pool.state_.servers.Find(ServerId("s1"))->held_back_until > kNow);
+  REQUIRE(pool.state_.servers.Find(ServerId("s1"))->quarantined_until > kNow);
 }
 
 // Guards against a plan that starts a task twice or exceeds a server's room.
@@ -168,9 +169,9 @@
   pool.dispatch_.Plan(kNow, outbox);
   pool.dispatch_.Plan(kNow, outbox);
   REQUIRE(pool.state_.planned.empty());
-  std::vector<JobAction> actions = outbox.Take();
+  std::vector<JobAction> actions = outbox.TakeActions();
   REQUIRE(actions.size() == 1);
-  const auto& ask = std::get<AskAdvice>(actions[0]);
+  const auto& ask = std::get<PlacementAdviceRequest>(actions[0]);
   REQUIRE(ask.servers.size() == 2);
   REQUIRE(pool.state_.advice.OnReply(
       kNow, {ask.tag, true, {{ServerId("s2"), "ticket"}}, Seconds(3)}));
@@ -197,7 +198,7 @@
   for (const char* name : {"s1", "s2", "s3", "s4", "s5"}) {
     ServerState& server = pool.AddServer(name);
     server.vacating = true;
-    server.vacate_started = kNow;
+    server.vacate_started_at = kNow;
     pool.AddRun(0, name, 2);
     stops += pool.Stops();
     pool.state_.jobs.FindTask({JobId("j"), 0, 0, 0})->runs.clear();
@@ -225,7 +226,8 @@
       bool first = i == 0;
       Run& run =
           pool.AddRun(i, names[i], first ? first_percent : other_percent);
-      run.since = run.ordered = kNow - Milliseconds(first ? 1200 : 1000);
+      run.phase_since = run.start_sent_at =
+          kNow - Milliseconds(first ? 1200 : 1000);
     }
     return pool.Stops();
   };
--- a/radishmoor/membership/lease.cc
+++ b/radishmoor/membership/lease.cc
@@ -252,7 +252,7 @@
     weights.emplace_back(RendezvousWeight(pool.str(), id.str()), id);
   };
   add(member_->record().id);
-  for (const PeerInfo* peer : peers_->Known()) {
+  for (const PeerInfo* peer : peers_->KnownPeers()) {
     if (peer->record.role == MemberRole::kControl && peer->row_version != 0 &&
         !Peers::Expired(*peer)) {
       add(peer->record.id);
@@ -320,16 +320,16 @@
   }
 }
 
-bool Leases::Holds(Time now, const PoolId& pool) const {
+bool Leases::HoldsPoolLease(Time now, const PoolId& pool) const {
   auto it = leases_.find(pool);
   return it != leases_.end() && it->second.held && member_->HoldsLease(now) &&
          it->second.record.token == member_->record().token;
 }
 
-std::vector<PoolId> Leases::Held(Time now) const {
+std::vector<PoolId> Leases::HeldPools(Time now) const {
   std::vector<PoolId> held;
   for (const auto& [pool, lease] : leases_) {
-    if (Holds(now, pool))
+    if (HoldsPoolLease(now, pool))
       held.push_back(pool);
   }
   return held;
@@ -339,7 +339,7 @@
     Time now,
     const PoolId& pool) const {
   std::optional<RowExpectation> own = member_->Expectation(now);
-  if (!own || !Holds(now, pool))
+  if (!own || !HoldsPoolLease(now, pool))
     return std::nullopt;
   return std::vector<RowExpectation>{{LeaseKey(pool), leases_.at(pool).version},
                                      *own};
--- a/radishmoor/membership/lease.h
+++ b/radishmoor/membership/lease.h
@@ -11,7 +11,7 @@
 //
 // A lease may be taken when its row is absent, or when the member row of its
 // holder is gone, belongs to a later start or did not change for
-// Member::kTakeover by the own clock. The taking transaction expects that
+// Member::kTakeoverDelay by the own clock. The taking transaction expects that
 // member row as observed, so a holder that renews first keeps the lease.
 //
 // Cost: one scan of `lease/` each 3 s, less often when it exceeds
@@ -97,8 +97,8 @@
   // Gives up all leases and takes no more; for a planned stop.
   void ReleaseAll() { releasing_ = true; }
 
-  bool Holds(Time now, const PoolId& pool) const;
-  std::vector<PoolId> Held(Time now) const;
+  bool HoldsPoolLease(Time now, const PoolId& pool) const;
+  std::vector<PoolId> HeldPools(Time now) const;
 
   // What each control transaction of the pool must expect. Absent while the
   // lease is not held and for the moments in which the member row is written.
--- a/radishmoor/membership/member.h
+++ b/radishmoor/membership/member.h
@@ -105,7 +105,7 @@
   static constexpr Duration kLeaseTerm = Seconds(10);
   // Others take over after this long without a change of the row, by their own
   // clock: the lease term and a margin of 2 s for clock drift.
-  static constexpr Duration kTakeover = Seconds(12);
+  static constexpr Duration kTakeoverDelay = Seconds(12);
   static constexpr Duration kMinWriteGap = Milliseconds(200);
   // An answer that takes longer counts as lost.
   static constexpr Duration kCallTimeout = Seconds(2);
--- a/radishmoor/membership/peers.cc
+++ b/radishmoor/membership/peers.cc
@@ -8,7 +8,7 @@
 Peers::Peers(PeersOptions options)
     : options_(std::move(options)), random_(options_.seed) {}
 
-void Peers::AddKnown(const MemberRecord& record) {
+void Peers::AddConfiguredPeer(const MemberRecord& record) {
   if (record.id == options_.self || peers_.size() >= kMaxPeers)
     return;
   peers_.try_emplace(record.id, PeerInfo{record}).first->second.configured =
@@ -197,7 +197,7 @@
   if (heard || expected)
     return heard;
   return peer.row_version != 0 &&
-         now - peer.row_changed < Member::kTakeover + scan_interval_;
+         now - peer.row_changed < Member::kTakeoverDelay + scan_interval_;
 }
 
 void Peers::UpdateLiveness(Time now, Actions& out) {
@@ -218,7 +218,7 @@
   return it == peers_.end() ? nullptr : &it->second;
 }
 
-std::vector<const PeerInfo*> Peers::Live() const {
+std::vector<const PeerInfo*> Peers::LivePeers() const {
   std::vector<const PeerInfo*> live;
   for (const auto& [id, peer] : peers_) {
     if (peer.live)
@@ -227,7 +227,7 @@
   return live;
 }
 
-std::vector<const PeerInfo*> Peers::Known() const {
+std::vector<const PeerInfo*> Peers::KnownPeers() const {
   std::vector<const PeerInfo*> known;
   for (const auto& [id, peer] : peers_)
     known.push_back(&peer);
--- a/radishmoor/membership/peers.h
+++ b/radishmoor/membership/peers.h
@@ -5,7 +5,7 @@
 //   for (PeerAction& a : peers.Tick(now, hybrid_clock.Tick(wall))) ...
 //   peers.Handle(now, store_answer);
 //   peers.Handle(now, heartbeat);
-//   for (const PeerInfo* peer : peers.Live(now)) ...
+//   for (const PeerInfo* peer : peers.LivePeers(now)) ...
 //
 // Liveness runs on the own clock: a peer of the zone is live while heartbeats
 // arrive, a peer of another zone while its row or heartbeats change. It is a
@@ -113,7 +113,7 @@
   explicit Peers(PeersOptions options);
 
   // A peer from the settings, so that a process without the store finds one.
-  void AddKnown(const MemberRecord& record);
+  void AddConfiguredPeer(const MemberRecord& record);
 
   // What own heartbeats carry.
   void SetSelf(Incarnation incarnation, ConfigVersion version);
@@ -123,15 +123,15 @@
   std::vector<PeerAction> Handle(Time now, const Heartbeat& heartbeat);
   Time next_wake() const;
 
-  // The row exists and did not change for Member::kTakeover.
+  // The row exists and did not change for Member::kTakeoverDelay.
   static bool Expired(const PeerInfo& peer) {
     return peer.row_version != 0 &&
-           peer.row_seen - peer.row_changed >= Member::kTakeover;
+           peer.row_seen - peer.row_changed >= Member::kTakeoverDelay;
   }
 
   const PeerInfo* Find(const MemberId& id) const;
-  std::vector<const PeerInfo*> Live() const;
-  std::vector<const PeerInfo*> Known() const;
+  std::vector<const PeerInfo*> LivePeers() const;
+  std::vector<const PeerInfo*> KnownPeers() const;
   // At least one scan completed.
   bool scanned() const { return scanned_; }
 
--- a/radishmoor/membership/testing/membership_test.cc
+++ b/radishmoor/membership/testing/membership_test.cc
@@ -154,7 +154,7 @@
       int passing = 0;
       for (auto& node : nodes) {
         bool paused = node->process.paused_until > sim.now;
-        if (!node->leases->Holds(sim.now, pool) || paused)
+        if (!node->leases->HoldsPoolLease(sim.now, pool) || paused)
           continue;
         auto expects = node->leases->Expectations(sim.now, pool);
         passing += expects && Passes(*expects) ? 1 : 0;
@@ -241,12 +241,12 @@
   std::set<PoolId> held;
   for (auto& node : world.nodes) {
     REQUIRE((node->superseded || node->member->HoldsLease(world.sim.now)));
-    for (const PoolId& pool : node->leases->Held(world.sim.now))
+    for (const PoolId& pool : node->leases->HeldPools(world.sim.now))
       REQUIRE(held.insert(pool).second);
     totals["taken_over"] += node->leases->counters().taken_over;
     totals["handed_back"] += node->leases->counters().handed_back;
     if (!node->superseded)
-      REQUIRE(node->peers->Live().size() >= 2);
+      REQUIRE(node->peers->LivePeers().size() >= 2);
   }
   REQUIRE(held == world.pools);
   return totals;
@@ -514,7 +514,7 @@
     }
   }
   REQUIRE(s.now >= kTimeZero + Seconds(12));
-  REQUIRE(leases.Holds(s.now, PoolId("p")) == !renews);
+  REQUIRE(leases.HoldsPoolLease(s.now, PoolId("p")) == !renews);
   if (!renews)
     REQUIRE(leases.Expectations(s.now, PoolId("p"))->size() == 2);
 }
@@ -539,11 +539,11 @@
     }
   };
   run(Seconds(5));
-  REQUIRE(leases.Held(s.now).size() == 2);
+  REQUIRE(leases.HeldPools(s.now).size() == 2);
   REQUIRE(table.row_count() == 3);
   leases.ReleaseAll();
   run(Seconds(1));
-  REQUIRE(leases.Held(s.now).empty());
+  REQUIRE(leases.HeldPools(s.now).empty());
   REQUIRE(table.row_count() == 1);
   s.member.Leave();
   s.now += Milliseconds(200);
--- a/radishmoor/ops/program_settings.cc
+++ b/radishmoor/ops/program_settings.cc
@@ -314,7 +314,8 @@
   const std::string& policy = values.Text("lending-policy");
   if (policy == "static")
     return LendingMode::kStatic;
-  return policy == "ahead" ? LendingMode::kAhead : LendingMode::kHysteresis;
+  return policy == "ahead" ? LendingMode::kPredictive
+                           : LendingMode::kHysteresis;
 }
 
 size_t Size(const SettingValues& values, const char* name) {
--- a/radishmoor/ops/program_settings.h
+++ b/radishmoor/ops/program_settings.h
@@ -45,7 +45,7 @@
 enum class LendingMode : uint8_t {
   kStatic,      // Spare hosts stay where the inventory puts them.
   kHysteresis,  // Lends when load crosses a threshold for some time.
-  kAhead,       // Lends before an expected peak.
+  kPredictive,  // Lends before an expected peak.
 };
 
 struct ControlSettings {
--- a/radishmoor/service/control_service.cc
+++ b/radishmoor/service/control_service.cc
@@ -16,7 +16,7 @@
 #include "radishmoor/ops/program_settings.h"
 #include "radishmoor/service/admin_server.h"
 #include "radishmoor/service/endpoints.h"
-#include "radishmoor/service/timeline_keeper.h"
+#include "radishmoor/service/timeline_recorder.h"
 
 namespace radishmoor {
 namespace {
@@ -35,13 +35,13 @@
 LendingPolicy PolicyOf(LendingMode mode) {
   switch (mode) {
     case LendingMode::kStatic:
-      return StaticSpare{};
+      return StaticLending{};
     case LendingMode::kHysteresis:
-      return Hysteresis{};
-    case LendingMode::kAhead:
-      return AheadOfPeak{};
+      return HysteresisLending{};
+    case LendingMode::kPredictive:
+      return PredictiveLending{};
   }
-  return StaticSpare{};
+  return StaticLending{};
 }
 
 bool Succeeded(const HttpFetcher::Result& result) {
@@ -90,7 +90,7 @@
   HttpFetcher fetcher_;
   StoreClient store_;
   Metrics metrics_;
-  std::unique_ptr<TimelineKeeper> timeline_;
+  std::unique_ptr<TimelineRecorder> timeline_;
   std::unique_ptr<ControlCore> core_;
   WakeTimer wake_;
   bool stopping_ = false;
@@ -111,8 +111,8 @@
 void ControlService::Impl::Start() {
   admin_endpoint = admin_.Listen(EndpointOf(settings_.admin_address));
   Incarnation incarnation{static_cast<uint64_t>(loop_.wall_now())};
-  timeline_ = std::make_unique<TimelineKeeper>(loop_, store_, settings_.member,
-                                               incarnation, 4096, Seconds(1));
+  timeline_ = std::make_unique<TimelineRecorder>(
+      loop_, store_, settings_.member, incarnation, 4096, Seconds(1));
   ControlOptions options;
   options.member = settings_.member;
   options.zone = settings_.zone;
@@ -286,7 +286,7 @@
   auto set = [this](const char* name, const char* help, uint64_t value) {
     metrics_.AddGauge(name, help).Set(static_cast<double>(value));
   };
-  FleetFigures figures = core_->controller().figures();
+  FleetCounters figures = core_->controller().figures();
   set("radishmoor_control_commits", "Changes committed.", figures.commits);
   set("radishmoor_control_conflicts", "Changes that lost a race.",
       figures.conflicts);
@@ -304,7 +304,7 @@
   set("radishmoor_config_version", "Configuration version in force.",
       core_->view().version());
   set("radishmoor_leases_held", "Pool leases held.",
-      core_->leases().Held(loop_.now()).size());
+      core_->leases().HeldPools(loop_.now()).size());
   set("radishmoor_store_requests", "Requests to the platform.",
       store_.counters().requests);
   set("radishmoor_store_writes", "Writes to the platform.",
@@ -323,7 +323,7 @@
 
 std::string ControlService::Impl::StatusPage() const {
   json::array leases;
-  for (const PoolId& pool : core_->leases().Held(loop_.now()))
+  for (const PoolId& pool : core_->leases().HeldPools(loop_.now()))
     leases.push_back(json::string(pool.str()));
   json::object status{{"member", settings_.member.str()},
                       {"zone", settings_.zone.str()},
--- a/radishmoor/service/entry_service.cc
+++ b/radishmoor/service/entry_service.cc
@@ -19,7 +19,7 @@
 #include "radishmoor/service/admin_server.h"
 #include "radishmoor/service/endpoints.h"
 #include "radishmoor/service/http_rules.h"
-#include "radishmoor/service/timeline_keeper.h"
+#include "radishmoor/service/timeline_recorder.h"
 
 namespace radishmoor {
 namespace {
@@ -113,7 +113,7 @@
   PeerTransport peers_;
   Metrics metrics_;
   Histogram latency_;
-  std::unique_ptr<TimelineKeeper> timeline_;
+  std::unique_ptr<TimelineRecorder> timeline_;
   std::unique_ptr<EntryCore> core_;
 
   uint64_t next_request_ = 0;
@@ -189,7 +189,7 @@
   options.seed = StableHash(settings_.member.str(), options.incarnation.value);
   options.dispatch.seed = options.seed;
   options.dispatch.policy = dispatch::RestartLong{};
-  timeline_ = std::make_unique<TimelineKeeper>(
+  timeline_ = std::make_unique<TimelineRecorder>(
       loop_, store_, options.member, options.incarnation,
       settings_.timeline_ring_size, settings_.timeline_flush_period);
   uint64_t seed = options.seed;
--- a/radishmoor/service/timeline_keeper.cc
+++ b/radishmoor/service/timeline_recorder.cc
@@ -1,4 +1,4 @@
-#include "radishmoor/service/timeline_keeper.h"
+#include "radishmoor/service/timeline_recorder.h"
 
 #include <utility>
 
@@ -14,12 +14,12 @@
 
 }  // namespace
 
-TimelineKeeper::TimelineKeeper(EventLoop& loop,
-                               StoreClient& store,
-                               const MemberId& member,
-                               Incarnation incarnation,
-                               size_t ring_size,
-                               Duration flush_period)
+TimelineRecorder::TimelineRecorder(EventLoop& loop,
+                                   StoreClient& store,
+                                   const MemberId& member,
+                                   Incarnation incarnation,
+                                   size_t ring_size,
+                                   Duration flush_period)
     : loop_(loop),
       store_(store),
       member_(member),
@@ -30,37 +30,38 @@
   ScheduleFlush();
 }
 
-TimelineKeeper::~TimelineKeeper() {
+TimelineRecorder::~TimelineRecorder() {
   loop_.Cancel(timer_);
 }
 
-void TimelineKeeper::Add(TimelineEvent event) {
+void TimelineRecorder::Add(TimelineEvent event) {
   bool of_request = event.request.value != 0;
   (of_request ? requests_ : state_).Add(std::move(event));
 }
 
-std::string TimelineKeeper::Page() const {
-  TimelineBatch batch{member_, incarnation_, state_.dropped(), state_.Since(0)};
-  for (TimelineEvent& event : requests_.Since(0)) {
+std::string TimelineRecorder::Page() const {
+  TimelineBatch batch{member_, incarnation_, state_.dropped(),
+                      state_.EventsAfter(0)};
+  for (TimelineEvent& event : requests_.EventsAfter(0)) {
     event.sequence += kRequestSequences;
     batch.events.push_back(std::move(event));
   }
   return EncodeTimeline(batch);
 }
 
-void TimelineKeeper::ScheduleFlush() {
+void TimelineRecorder::ScheduleFlush() {
   timer_ = loop_.RunAfter(flush_period_, [this] {
     Flush();
     ScheduleFlush();
   });
 }
 
-void TimelineKeeper::Flush() {
+void TimelineRecorder::Flush() {
   if (flushing_ || state_.last_sequence() == flushed_)
     return;
   flushing_ = true;
   TimelineBatch batch{member_, incarnation_, state_.dropped(),
-                      state_.Since(flushed_)};
+                      state_.EventsAfter(flushed_)};
   uint64_t last = batch.events.back().sequence;
   PutObject put{TimelineKey(member_, incarnation_, last),
                 EncodeTimeline(batch)};
--- a/radishmoor/service/timeline_keeper.h
+++ b/radishmoor/service/timeline_recorder.h
@@ -2,16 +2,16 @@
 // are not about single requests to the object store in batches, so that they
 // outlast the process.
 //
-//   TimelineKeeper keeper(loop, store, member, incarnation, options);
-//   keeper.Add(event);
-//   std::string page = keeper.Page();    // For the admin server.
+//   TimelineRecorder coordinator(loop, store, member, incarnation, options);
+//   recorder.Add(event);
+//   std::string page = recorder.Page();    // For the admin server.
 //
 // Lost when the process is killed: state events since the last flush, and all
 // request events. Request events are not flushed, because thousands a second
 // would exceed the bytes that a process may spend on control.
 
-#ifndef RADISHMOOR_SERVICE_TIMELINE_KEEPER_H_
-#define RADISHMOOR_SERVICE_TIMELINE_KEEPER_H_
+#ifndef RADISHMOOR_SERVICE_TIMELINE_RECORDER_H_
+#define RADISHMOOR_SERVICE_TIMELINE_RECORDER_H_
 
 #include <cstdint>
 #include <string>
@@ -23,16 +23,16 @@
 class EventLoop;
 class StoreClient;
 
-class TimelineKeeper {
+class TimelineRecorder {
  public:
   // `loop` and `store` must outlive this object.
-  TimelineKeeper(EventLoop& loop,
-                 StoreClient& store,
-                 const MemberId& member,
-                 Incarnation incarnation,
-                 size_t ring_size,
-                 Duration flush_period);
-  ~TimelineKeeper();
+  TimelineRecorder(EventLoop& loop,
+                   StoreClient& store,
+                   const MemberId& member,
+                   Incarnation incarnation,
+                   size_t ring_size,
+                   Duration flush_period);
+  ~TimelineRecorder();
 
   void Add(TimelineEvent event);
 
@@ -61,4 +61,4 @@
 
 }  // namespace radishmoor
 
-#endif  // RADISHMOOR_SERVICE_TIMELINE_KEEPER_H_
+#endif  // RADISHMOOR_SERVICE_TIMELINE_RECORDER_H_
