--- a/radishmoor/backend/backend_pool.cc
+++ b/radishmoor/backend/backend_pool.cc
@@ -331,7 +331,7 @@
   actions_.emplace_back(OpenConnection{id, connection_id});
 }
 
-BackendActions BackendPool::Opened(Time now, ConnectionId id) {
+BackendActions BackendPool::OnConnectionOpened(Time now, ConnectionId id) {
   Connection* connection = Find(id);
   if (connection == nullptr || connection->state != ConnectionState::kOpening)
     return Take();
@@ -458,7 +458,7 @@
   touched_.insert(connection.host);
 }
 
-BackendActions BackendPool::OpenFailed(Time now, ConnectionId id) {
+BackendActions BackendPool::OnConnectionOpenFailed(Time now, ConnectionId id) {
   Connection* connection = Find(id);
   if (connection == nullptr || connection->state != ConnectionState::kOpening)
     return Take();
@@ -488,8 +488,8 @@
     RecordFailure(now, host, 0, true, started);
 }
 
-BackendActions BackendPool::ExchangeFinished(Time now,
-                                             const Exchange& exchange) {
+BackendActions BackendPool::OnExchangeFinished(Time now,
+                                               const Exchange& exchange) {
   Connection* connection = Find(exchange.connection);
   if (connection == nullptr || connection->state != ConnectionState::kBusy)
     return Take();
@@ -531,9 +531,9 @@
   return Take();
 }
 
-BackendActions BackendPool::ProbeAnswered(Time now,
-                                          ConnectionId id,
-                                          bool leaving) {
+BackendActions BackendPool::OnProbeAnswered(Time now,
+                                            ConnectionId id,
+                                            bool leaving) {
   Connection* connection = Find(id);
   if (connection == nullptr || connection->state != ConnectionState::kProbing)
     return Take();
@@ -548,7 +548,7 @@
   return Take();
 }
 
-BackendActions BackendPool::ConnectionClosed(Time now, ConnectionId id) {
+BackendActions BackendPool::OnConnectionClosed(Time now, ConnectionId id) {
   Connection* connection = Find(id);
   if (connection == nullptr)
     return Take();
@@ -571,7 +571,7 @@
   return Take();
 }
 
-BackendActions BackendPool::TimedOut(Time now, ConnectionId id) {
+BackendActions BackendPool::OnTimeout(Time now, ConnectionId id) {
   Connection* connection = Find(id);
   if (connection == nullptr || connection->state != ConnectionState::kBusy)
     return Take();
@@ -611,7 +611,7 @@
   Connection& connection = connections_.at(id);
   HostId host_id = connection.host;
   Time started = connection.started;
-  JobHash job = connection.attempt->job;
+  RequestContentHash job = connection.attempt->job;
   EndAttempt(connection);
   Remove(id, true);
   Host* host = Find(host_id);
@@ -762,7 +762,7 @@
 
 void BackendPool::RecordSuccess(Time now,
                                 const HostId& id,
-                                JobHash job,
+                                RequestContentHash job,
                                 Time started,
                                 bool at_limit) {
   Host& host = hosts_.at(id);
@@ -787,7 +787,7 @@
 
 void BackendPool::RecordFailure(Time now,
                                 const HostId& id,
-                                JobHash job,
+                                RequestContentHash job,
                                 bool unreachable,
                                 Time started) {
   if (!unreachable && ChargeToJob(now, id, job))
@@ -845,7 +845,9 @@
 
 // Whether the failure belongs to the job. Failures of the job on other hosts
 // are then taken off those hosts.
-bool BackendPool::ChargeToJob(Time now, const HostId& id, JobHash hash) {
+bool BackendPool::ChargeToJob(Time now,
+                              const HostId& id,
+                              RequestContentHash hash) {
   if (hash == 0 || !options_.charge_jobs)
     return false;
   if (static_cast<int>(jobs_.size()) >= options_.max_tracked_jobs)
--- a/radishmoor/backend/backend_pool.h
+++ b/radishmoor/backend/backend_pool.h
@@ -8,9 +8,10 @@
 // An attempt goes through these steps:
 //
 //   Acquire -> StartExchange at once on an idle connection, or
-//              OpenConnection, then Opened -> StartExchange, or
+//              OpenConnection, then OnConnectionOpened -> StartExchange, or
 //              AcquireFailed (nothing was written).
-//   StartExchange -> ExchangeFinished | ConnectionClosed | TimedOut | Abandon.
+//   StartExchange -> OnExchangeFinished | OnConnectionClosed | OnTimeout |
+//   Abandon.
 //
 // While an exchange runs, AttemptSuspect may say that its connection is
 // probably silent. The caller may then retry idempotent work on another
@@ -40,7 +41,7 @@
 
 // Identifies the content of a request, so that a job which fails on several
 // servers is recognised when it comes back. 0 means unknown.
-using JobHash = uint64_t;
+using RequestContentHash = uint64_t;
 
 struct BackendOptions {
   // Connections to one host: this process's share of the host's 64.
@@ -102,7 +103,7 @@
 struct AcquireRequest {
   HostId host;
   RequestId request;
-  JobHash job = 0;
+  RequestContentHash job = 0;
   bool idempotent = true;
   Time deadline = kTimeMax;
 };
@@ -150,7 +151,7 @@
   kPeer = 8,  // Another entry process was told by the server.
 };
 
-// Open a connection and report Opened or OpenFailed.
+// Open a connection and report OnConnectionOpened or OnConnectionOpenFailed.
 struct OpenConnection {
   HostId host;
   ConnectionId connection;
@@ -168,7 +169,7 @@
   RequestId request;
   AcquireError error;
 };
-// Send a request that does no work and report ProbeAnswered.
+// Send a request that does no work and report OnProbeAnswered.
 struct ProbeConnection {
   HostId host;
   ConnectionId connection;
@@ -205,7 +206,7 @@
 };
 // The job failed on several different hosts; retrying it is pointless.
 struct JobCharged {
-  JobHash job;
+  RequestContentHash job;
 };
 
 using BackendAction = std::variant<OpenConnection,
@@ -248,14 +249,16 @@
 
   BackendActions Acquire(Time now, const AcquireRequest& request);
 
-  BackendActions Opened(Time now, ConnectionId connection);
-  BackendActions OpenFailed(Time now, ConnectionId connection);
-  BackendActions ExchangeFinished(Time now, const Exchange& exchange);
-  BackendActions ProbeAnswered(Time now, ConnectionId connection, bool leaving);
+  BackendActions OnConnectionOpened(Time now, ConnectionId connection);
+  BackendActions OnConnectionOpenFailed(Time now, ConnectionId connection);
+  BackendActions OnExchangeFinished(Time now, const Exchange& exchange);
+  BackendActions OnProbeAnswered(Time now,
+                                 ConnectionId connection,
+                                 bool leaving);
   // Closed by the peer or by an error. An exchange on it has failed.
-  BackendActions ConnectionClosed(Time now, ConnectionId connection);
+  BackendActions OnConnectionClosed(Time now, ConnectionId connection);
   // The request's deadline passed without an answer.
-  BackendActions TimedOut(Time now, ConnectionId connection);
+  BackendActions OnTimeout(Time now, ConnectionId connection);
   // The caller no longer wants the answer (cancelled, or answered elsewhere).
   // Says nothing about the host.
   BackendActions Abandon(Time now, const HostId& host, RequestId request);
@@ -389,16 +392,16 @@
   void Decay(Time now, Host& host);
   void RecordSuccess(Time now,
                      const HostId& id,
-                     JobHash job,
+                     RequestContentHash job,
                      Time started,
                      bool at_limit);
   void RecordFailure(Time now,
                      const HostId& id,
-                     JobHash job,
+                     RequestContentHash job,
                      bool unreachable,
                      Time started);
   void RecordNotRun(Time now, const HostId& id, Time started);
-  bool ChargeToJob(Time now, const HostId& id, JobHash job);
+  bool ChargeToJob(Time now, const HostId& id, RequestContentHash job);
   void ForgetOldJobs(Time now);
   void ConsiderEjection(Time now, const HostId& id);
   void Eject(Time now, const HostId& id, EjectReason reason);
@@ -434,7 +437,7 @@
   std::map<HostId, Host> hosts_;
   std::map<PoolId, Pool> pools_;
   std::map<ConnectionId, Connection> connections_;
-  std::map<JobHash, Job> jobs_;
+  std::map<RequestContentHash, Job> jobs_;
   std::set<std::pair<Time, ConnectionId>> idle_order_;
   std::set<std::pair<Time, ConnectionId>> connection_timers_;
   std::set<std::pair<Time, HostId>> host_timers_;
--- a/radishmoor/backend/testing/backend_pool_test.cc
+++ b/radishmoor/backend/testing/backend_pool_test.cc
@@ -36,12 +36,12 @@
 
   // Starts an exchange, opening a connection if needed.
   std::optional<ConnectionId> Start(const HostId& host,
-                                    JobHash job = 0,
+                                    RequestContentHash job = 0,
                                     bool idempotent = true) {
     BackendActions actions = pool.Acquire(
         now, {host, {++request}, job, idempotent, now + Seconds(3)});
     if (auto open = All<OpenConnection>(actions); !open.empty())
-      actions = pool.Opened(now, open[0].connection);
+      actions = pool.OnConnectionOpened(now, open[0].connection);
     auto start = All<StartExchange>(actions);
     if (start.empty())
       return std::nullopt;
@@ -52,13 +52,13 @@
                         ExchangeResult result,
                         Duration took = Milliseconds(10)) {
     Advance(took);
-    return pool.ExchangeFinished(now, {connection, result});
+    return pool.OnExchangeFinished(now, {connection, result});
   }
 
   // One exchange, if the host takes it.
   BackendActions Run(const HostId& host,
                      ExchangeResult result,
-                     JobHash job = 0,
+                     RequestContentHash job = 0,
                      Duration took = Milliseconds(10)) {
     auto connection = Start(host, job);
     return connection ? Finish(*connection, result, took) : BackendActions{};
@@ -70,9 +70,9 @@
     while (pool.next_wake() <= end) {
       now = std::max(now, pool.next_wake());
       for (const auto& open : All<OpenConnection>(pool.Tick(now))) {
-        for (const auto& probe :
-             All<ProbeConnection>(pool.Opened(now, open.connection)))
-          pool.ProbeAnswered(now, probe.connection, server_leaving);
+        for (const auto& probe : All<ProbeConnection>(
+                 pool.OnConnectionOpened(now, open.connection)))
+          pool.OnProbeAnswered(now, probe.connection, server_leaving);
       }
     }
     now = end;
@@ -217,7 +217,7 @@
   Fixture f(10);
   int charged = 0;
   for (int i = 0; i < 300; ++i) {
-    JobHash job = 1 + static_cast<uint64_t>(i) % 3;
+    RequestContentHash job = 1 + static_cast<uint64_t>(i) % 3;
     charged += static_cast<int>(
         All<JobCharged>(f.Run(Name(i % 10), ExchangeResult::kFailure, job))
             .size());
@@ -306,7 +306,7 @@
     else if (source == 1)
       actions = f.pool.SetHostListLeaving(f.now, Name(0), true);
     else
-      actions = f.pool.ExchangeFinished(
+      actions = f.pool.OnExchangeFinished(
           f.now, {other, ExchangeResult::kSuccess, true, true});
     REQUIRE(All<Leaving>(actions).size() == 1);
     for (const auto& close : All<CloseConnection>(actions))
@@ -314,7 +314,7 @@
     REQUIRE_FALSE(f.pool.usable(Name(0)));
     REQUIRE_FALSE(f.Start(Name(0)).has_value());
     f.pool.RemoveHost(f.now, Name(1));
-    actions = f.pool.Opened(f.now, opening.connection);
+    actions = f.pool.OnConnectionOpened(f.now, opening.connection);
     REQUIRE(All<StartExchange>(actions).empty());
     REQUIRE(All<AcquireFailed>(actions).size() == 1);
     f.server_leaving = true;
@@ -418,17 +418,17 @@
       case Record::kOpening:
         if (!good) {
           records_.erase(id);
-          return Check(pool_.OpenFailed(now_, id));
+          return Check(pool_.OnConnectionOpenFailed(now_, id));
         }
         record.state = Record::kOpen;
         record.opened = record.alive = now_;
-        return Check(pool_.Opened(now_, id));
+        return Check(pool_.OnConnectionOpened(now_, id));
       case Record::kProbing:
         if (!good)
           return;
         record.state = Record::kOpen;
         record.alive = now_;
-        return Check(pool_.ProbeAnswered(now_, id, random_.Chance(0.05)));
+        return Check(pool_.OnProbeAnswered(now_, id, random_.Chance(0.05)));
       case Record::kBusy:
         if (good || random_.Chance(0.5)) {
           record.state = Record::kOpen;
@@ -436,19 +436,19 @@
           requests_.erase(record.request);
           auto result = static_cast<ExchangeResult>(
               random_.Chance(0.6) ? 0 : random_.Below(4));
-          return Check(pool_.ExchangeFinished(
+          return Check(pool_.OnExchangeFinished(
               now_, {id, result, good, random_.Chance(0.02)}));
         }
         requests_.erase(record.request);
         // Only the first time-out on a connection says something new.
         if (!record.reported)
           timed_out_[record.host] = now_;
-        return Check(pool_.TimedOut(now_, id));
+        return Check(pool_.OnTimeout(now_, id));
       case Record::kOpen:
         if (good)
           return;
         records_.erase(id);
-        return Check(pool_.ConnectionClosed(now_, id));
+        return Check(pool_.OnConnectionClosed(now_, id));
     }
   }
 
--- a/radishmoor/backend/testing/backend_sim.h
+++ b/radishmoor/backend/testing/backend_sim.h
@@ -188,7 +188,7 @@
     if (open.host == Host(0))
       processes_[p].open_to_first.insert(open.connection);
     At(2 * kOneWay, [this, p, id = open.connection] {
-      Perform(p, processes_[p].pool.Opened(now_, id));
+      Perform(p, processes_[p].pool.OnConnectionOpened(now_, id));
     });
   }
 
@@ -213,7 +213,7 @@
         busy == process.busy.end() || busy->second != start.request)
       return;
     process.busy.erase(busy);
-    Perform(p, process.pool.ExchangeFinished(
+    Perform(p, process.pool.OnExchangeFinished(
                    now_, {start.connection, fails ? ExchangeResult::kFailure
                                                   : ExchangeResult::kSuccess}));
     auto it = process.requests.find(start.request);
@@ -239,7 +239,7 @@
     for (const auto& [host, connection] : request.attempts) {
       process.busy.erase(connection);
       Perform(p, missed && connection.value != 0
-                     ? process.pool.TimedOut(now_, connection)
+                     ? process.pool.OnTimeout(now_, connection)
                      : process.pool.Abandon(now_, host, id));
     }
   }
@@ -275,7 +275,7 @@
       return;
     At(2 * kOneWay, [this, p, id = probe.connection] {
       if (!processes_[p].silent.contains(id))
-        Perform(p, processes_[p].pool.ProbeAnswered(now_, id, false));
+        Perform(p, processes_[p].pool.OnProbeAnswered(now_, id, false));
     });
   }
 
--- a/radishmoor/entry/entry_core.cc
+++ b/radishmoor/entry/entry_core.cc
@@ -256,7 +256,7 @@
   exchanges_.erase(connection);
   // A missed deadline is a sign of a silent connection; a cancellation or a
   // restart is not.
-  Run(timed_out ? backend_.TimedOut(now_, connection)
+  Run(timed_out ? backend_.OnTimeout(now_, connection)
                 : backend_.Abandon(now_, abort.host, abort.request));
 }
 
@@ -305,28 +305,28 @@
 
 // Backend connections.
 
-EntryActions EntryCore::Opened(Time now,
-                               WallMillis wall,
-                               ConnectionId connection) {
+EntryActions EntryCore::OnConnectionOpened(Time now,
+                                           WallMillis wall,
+                                           ConnectionId connection) {
   Enter(now, wall);
-  Run(backend_.Opened(now_, connection));
+  Run(backend_.OnConnectionOpened(now_, connection));
   return Exit();
 }
 
-EntryActions EntryCore::OpenFailed(Time now,
-                                   WallMillis wall,
-                                   ConnectionId connection) {
+EntryActions EntryCore::OnConnectionOpenFailed(Time now,
+                                               WallMillis wall,
+                                               ConnectionId connection) {
   Enter(now, wall);
-  Run(backend_.OpenFailed(now_, connection));
+  Run(backend_.OnConnectionOpenFailed(now_, connection));
   return Exit();
 }
 
-EntryActions EntryCore::Answered(Time now,
-                                 WallMillis wall,
-                                 const BackendAnswer& answer) {
+EntryActions EntryCore::OnBackendAnswer(Time now,
+                                        WallMillis wall,
+                                        const BackendAnswer& answer) {
   Enter(now, wall);
   if (probes_.erase(answer.connection) > 0) {
-    Run(backend_.ProbeAnswered(now_, answer.connection, answer.leaving));
+    Run(backend_.OnProbeAnswered(now_, answer.connection, answer.leaving));
     return Exit();
   }
   auto node = exchanges_.extract(answer.connection);
@@ -335,23 +335,23 @@
     return Exit();
   }
   ExchangeResult result = ResultOf(answer);
-  Run(backend_.ExchangeFinished(now_, {.connection = answer.connection,
-                                       .result = result,
-                                       .reusable = answer.reusable,
-                                       .leaving = answer.leaving}));
+  Run(backend_.OnExchangeFinished(now_, {.connection = answer.connection,
+                                         .result = result,
+                                         .reusable = answer.reusable,
+                                         .leaving = answer.leaving}));
   if (LiveRequest* request = FindIn(live_, node.mapped()))
     request->encoded = answer.encoded;
   ReportAttempt(node.mapped(), AttemptOutcomeOf(result));
   return Exit();
 }
 
-EntryActions EntryCore::ConnectionEnded(Time now,
-                                        WallMillis wall,
-                                        ConnectionId connection) {
+EntryActions EntryCore::OnConnectionEnded(Time now,
+                                          WallMillis wall,
+                                          ConnectionId connection) {
   Enter(now, wall);
   probes_.erase(connection);
   auto node = exchanges_.extract(connection);
-  Run(backend_.ConnectionClosed(now_, connection));
+  Run(backend_.OnConnectionClosed(now_, connection));
   if (!node.empty()) {
     if (LiveRequest* request = FindIn(live_, node.mapped()))
       request->connection = {};
@@ -376,7 +376,7 @@
 void EntryCore::On(const OpenConnection& open) {
   const HostState* host = view_.state().FindHost(open.host);
   if (host == nullptr) {
-    Run(backend_.OpenFailed(now_, open.connection));
+    Run(backend_.OnConnectionOpenFailed(now_, open.connection));
     return;
   }
   actions_.push_back(
@@ -446,7 +446,7 @@
       continue;
     ConnectionId connection = std::exchange(request->connection, {});
     exchanges_.erase(connection);
-    Run(backend_.TimedOut(now_, connection));
+    Run(backend_.OnTimeout(now_, connection));
     ReportAttempt(id, dispatch::AttemptOutcome::kLost);
   }
 }
--- a/radishmoor/entry/entry_core.h
+++ b/radishmoor/entry/entry_core.h
@@ -3,7 +3,7 @@
 //
 //   EntryCore core(options);
 //   for (EntryAction& action : core.Request(now, wall, request)) ...
-//   for (EntryAction& action : core.Answered(now, wall, answer)) ...
+//   for (EntryAction& action : core.OnBackendAnswer(now, wall, answer)) ...
 //   if (now >= core.next_wake()) core.Tick(now, wall);
 //
 // Each Request() leads to exactly one DeliverAnswer, ReplayAnswer,
@@ -65,13 +65,19 @@
   EntryActions Cancel(Time now, WallMillis wall, RequestId request);
 
   // Backend connections.
-  EntryActions Opened(Time now, WallMillis wall, ConnectionId connection);
-  EntryActions OpenFailed(Time now, WallMillis wall, ConnectionId connection);
-  EntryActions Answered(Time now, WallMillis wall, const BackendAnswer& answer);
-  // The connection ended: idle, or with an exchange that has no whole answer.
-  EntryActions ConnectionEnded(Time now,
+  EntryActions OnConnectionOpened(Time now,
+                                  WallMillis wall,
+                                  ConnectionId connection);
+  EntryActions OnConnectionOpenFailed(Time now,
+                                      WallMillis wall,
+                                      ConnectionId connection);
+  EntryActions OnBackendAnswer(Time now,
                                WallMillis wall,
-                               ConnectionId connection);
+                               const BackendAnswer& answer);
+  // The connection ended: idle, or with an exchange that has no whole answer.
+  EntryActions OnConnectionEnded(Time now,
+                                 WallMillis wall,
+                                 ConnectionId connection);
 
   // Platform and peers.
   EntryActions Handle(Time now, WallMillis wall, const StoreAnswer& answer);
--- a/radishmoor/entry/testing/entry_core_test.cc
+++ b/radishmoor/entry/testing/entry_core_test.cc
@@ -60,11 +60,12 @@
                 : table.Handle(call->request);
         more = core.Handle(now, Wall(), StoreAnswer{call->tag, reply});
       } else if (auto* open = std::get_if<OpenBackendConnection>(&action)) {
-        more = core.Opened(now, Wall(), open->connection);
+        more = core.OnConnectionOpened(now, Wall(), open->connection);
       } else if (auto* write = std::get_if<WriteBackendRequest>(&action)) {
         written.push_back(write->request);
       } else if (auto* probe = std::get_if<WriteBackendProbe>(&action)) {
-        more = core.Answered(now, Wall(), {.connection = probe->connection});
+        more = core.OnBackendAnswer(now, Wall(),
+                                    {.connection = probe->connection});
       } else if (auto* refuse = std::get_if<RefuseRequest>(&action)) {
         refused.push_back(*refuse);
       } else if (auto* drop = std::get_if<DropRequest>(&action)) {
--- a/radishmoor/entry/testing/system_driver.cc
+++ b/radishmoor/entry/testing/system_driver.cc
@@ -453,12 +453,12 @@
           return;
         Proc& p = *c->proc;
         if (opened) {
-          Perform(p, p.entry->Opened(Now(p), Wall(p), c->id));
+          Perform(p, p.entry->OnConnectionOpened(Now(p), Wall(p), c->id));
           return;
         }
         ConnectionId id = c->id;
         Forget(index);
-        Perform(p, p.entry->OpenFailed(Now(p), Wall(p), id));
+        Perform(p, p.entry->OnConnectionOpenFailed(Now(p), Wall(p), id));
       });
     });
   }
@@ -554,7 +554,7 @@
       Proc& p = *c->proc;
       ConnectionId id = c->id;
       Forget(index);
-      Perform(p, p.entry->ConnectionEnded(Now(p), Wall(p), id));
+      Perform(p, p.entry->OnConnectionEnded(Now(p), Wall(p), id));
     });
   }
 
@@ -567,17 +567,17 @@
       return;
     }
     answer.leaving = c.host->leaving_until > sim_.now;
-    sim_.Post(
-        c.proc, Delay(c.proc->zone, c.host->zone),
-        [this, index, answer, text]() mutable {
-          Connection* c = Find(index);
-          if (c == nullptr || !c->open)
-            return;
-          Proc& p = *c->proc;
-          if (p.entry->keyed(c->id))
-            answer.encoded = text;
-          Perform(p, p.entry->Answered(Now(p), Wall(p), answer), {index, text});
-        });
+    sim_.Post(c.proc, Delay(c.proc->zone, c.host->zone),
+              [this, index, answer, text]() mutable {
+                Connection* c = Find(index);
+                if (c == nullptr || !c->open)
+                  return;
+                Proc& p = *c->proc;
+                if (p.entry->keyed(c->id))
+                  answer.encoded = text;
+                Perform(p, p.entry->OnBackendAnswer(Now(p), Wall(p), answer),
+                        {index, text});
+              });
   }
 
   // Backend hosts.
--- a/radishmoor/fleet/controller.cc
+++ b/radishmoor/fleet/controller.cc
@@ -126,7 +126,7 @@
     case PlatformResultKind::kRebootFinished:
       if (platform.rebooted_key == result.key)
         break;
-      figures_.requests_cut += result.requests_cut;
+      counters_.requests_cut += result.requests_cut;
       wave_.CountCut(result.requests_cut);
       platform.rebooted_key = result.key;
       platform.rebooted_at = now;
@@ -166,7 +166,7 @@
 void Controller::ApplyResult(Time now, const WriteResult& result) {
   switch (result.outcome) {
     case WriteOutcome::kCommitted:
-      ++figures_.commits;
+      ++counters_.commits;
       ReportChange(result.delta);
       // The view may have delivered this change, or later ones, already.
       if (result.delta.version == next_version()) {
@@ -176,7 +176,7 @@
       }
       break;
     case WriteOutcome::kConflict:
-      ++figures_.conflicts;
+      ++counters_.conflicts;
       for (const std::string& key : result.conflicts) {
         // A stale head waits for the view; a stale fence for the lease.
         if (key != kConfigHeadKey && !key.starts_with("config/delta/"))
@@ -208,22 +208,22 @@
     event.pool = host.pool;
     event.config = delta.version;
     if (host.phase == HostPhase::kDraining)
-      ++figures_.drains_started;
+      ++counters_.drains_started;
     if (host.phase == HostPhase::kRebooting) {
-      ++figures_.reboots;
+      ++counters_.reboots;
       wave_.CountReboot();
     }
     if (host.phase == HostPhase::kRetired)
-      ++figures_.retired;
+      ++counters_.retired;
     if (IsNewcomer(host)) {
       event.kind = EventKind::kHostMoved;
-      ++figures_.moves;
+      ++counters_.moves;
       wave_.CountMove();
     }
     bool back = before && before->phase == HostPhase::kDraining &&
                 host.phase == HostPhase::kActive;
     if (back) {
-      ++figures_.give_backs;
+      ++counters_.give_backs;
       event.detail = "drain given back";
     }
     actions_.emplace_back(std::move(event));
@@ -456,7 +456,7 @@
     return false;
   if (budgets.MayTake(host))
     return true;
-  ++figures_.budget_refusals;
+  ++counters_.budget_refusals;
   return false;
 }
 
@@ -482,8 +482,8 @@
                : GateVerdict{false, GateBlock::kNotDraining, {}};
 }
 
-FleetCounters Controller::figures() const {
-  FleetCounters figures = figures_;
+FleetCounters Controller::fleet_counters() const {
+  FleetCounters figures = counters_;
   figures.unavailable = writer_.unavailable();
   figures.unknown = writer_.unknown();
   figures.resolved_committed = writer_.resolved_committed();
--- a/radishmoor/fleet/controller.h
+++ b/radishmoor/fleet/controller.h
@@ -90,7 +90,7 @@
     return wave_.FirstCompleted(state_, limit);
   }
   const FleetState& state() const { return state_; }
-  FleetCounters figures() const;
+  FleetCounters fleet_counters() const;
 
  private:
   struct Change {
@@ -167,7 +167,7 @@
   std::map<HostId, PlatformState> platform_;
   std::set<HostId> soon_due_;
   std::vector<FleetAction> actions_;
-  FleetCounters figures_;
+  FleetCounters counters_;
   Time next_wake_{};
 };
 
--- a/radishmoor/fleet/testing/controller_test.cc
+++ b/radishmoor/fleet/testing/controller_test.cc
@@ -571,7 +571,7 @@
   // One attempt for each of the three leases.
   CHECK(sent == 3);
   CHECK(sim.drains == 0);
-  CHECK(sim.procs[0].controller->figures().conflicts == 3);
+  CHECK(sim.procs[0].controller->fleet_counters().conflicts == 3);
 }
 
 // Guards against a partition that stops the wave elsewhere or moves hosts that
--- a/radishmoor/fleet/testing/fleet_bench.cc
+++ b/radishmoor/fleet/testing/fleet_bench.cc
@@ -187,7 +187,7 @@
   }
 
   uint64_t Moves() const {
-    return sim_.procs[0].controller->figures().moves - moves_before_;
+    return sim_.procs[0].controller->fleet_counters().moves - moves_before_;
   }
 
   const Site& site_;
--- a/radishmoor/jobs/fleet_coordinator.cc
+++ b/radishmoor/jobs/fleet_coordinator.cc
@@ -106,7 +106,7 @@
     wave.plan = plan;
     if (!inserted)
       continue;
-    wave.seen = known.seen;
+    wave.first_seen_at = known.first_seen_at;
     outbox.LogDecision("wave-seen",
                        {{"wave", static_cast<int64_t>(plan.number)},
                         {"hosts", static_cast<int64_t>(plan.hosts.size())},
@@ -320,9 +320,10 @@
   }
   wave.completed = true;
   wave.next_report = now;
-  outbox.LogDecision("wave-completed",
-                     {{"wave", static_cast<int64_t>(wave.plan.number)},
-                      {"took_ms", WholeMilliseconds(now - wave.seen)}});
+  outbox.LogDecision(
+      "wave-completed",
+      {{"wave", static_cast<int64_t>(wave.plan.number)},
+       {"took_ms", WholeMilliseconds(now - wave.first_seen_at)}});
 }
 
 void FleetCoordinator::OnVacateAnswer(Time now, const VacateAnswer& answer) {
@@ -463,7 +464,7 @@
   size_t left = wave.plan.hosts.size() - wave.done.size();
   size_t rounds = left / std::max(1u, wave.plan.max_at_once) + 1;
   Duration needed = kRoundTime * static_cast<int64_t>(rounds) + kWaveMargin;
-  return now + needed < wave.seen + wave.plan.length;
+  return now + needed < wave.first_seen_at + wave.plan.length;
 }
 
 std::vector<PoolSizingInput> FleetCoordinator::Sizes(
@@ -475,7 +476,7 @@
     size.pool = config.id;
     size.standby = config.standby;
     auto contact = contacts.find(config.id);
-    size.known = contact != contacts.end();
+    size.figures_recent = contact != contacts.end();
     for (const auto& [id, host] : hosts_) {
       auto operation = host_operations_.find(id);
       bool moves = operation != host_operations_.end() &&
@@ -488,13 +489,13 @@
       ++size.hosts;
       size.cores_per_host =
           static_cast<double>(host.capacity.cpu_millis) / 1000;
-      size.leaving +=
+      size.leaving_hosts +=
           moves && operation->second.stage == Stage::kEmptying ? 1 : 0;
     }
-    if (size.known) {
+    if (size.figures_recent) {
       size.demand_cores = contact->second.heartbeat.demand_cores;
       size.offered_cores = contact->second.heartbeat.offered_cores;
-      size.silent = contact->second.heartbeat.silent_servers;
+      size.silent_hosts = contact->second.heartbeat.silent_servers;
       size.min_hosts = contact->second.heartbeat.min_servers;
     }
     size.spare_hosts = static_cast<uint32_t>(
@@ -503,7 +504,7 @@
     if (config.standby)
       size.spare_hosts += emptying;
     else
-      size.arriving = emptying;
+      size.arriving_hosts = emptying;
     sizes.push_back(size);
   }
   return sizes;
--- a/radishmoor/jobs/fleet_coordinator.h
+++ b/radishmoor/jobs/fleet_coordinator.h
@@ -59,7 +59,7 @@
 // A wave, and since when its time runs as far as this process knows.
 struct ObservedWave {
   MaintenanceWave plan;
-  Time seen;
+  Time first_seen_at;
 };
 
 class FleetCoordinator {
@@ -116,7 +116,7 @@
   };
   struct Wave {
     MaintenanceWave plan;
-    Time seen;
+    Time first_seen_at;
     std::set<HostId> done;
     std::map<HostId, Time> set_aside;  // Could not be emptied; until then.
     std::map<HostId, Time> missing;    // Not in the list of hosts, since then.
--- a/radishmoor/jobs/fleet_sizing.cc
+++ b/radishmoor/jobs/fleet_sizing.cc
@@ -76,7 +76,8 @@
     started_ = now;
   for (const PoolSizingInput& pool : pools) {
     double cores = pool.cores_per_host * pool.hosts;
-    used_ = used_ || (pool.known && pool.demand_cores > kUsedShare * cores);
+    used_ = used_ ||
+            (pool.figures_recent && pool.demand_cores > kUsedShare * cores);
   }
   struct Balance {
     const PoolSizingInput* pool = nullptr;
@@ -94,13 +95,13 @@
       balances.push_back(balance);
       continue;
     }
-    if (!pool.known)
+    if (!pool.figures_recent)
       continue;
     uint32_t needed = Needed(now, pool);
     uint32_t lately = NeededLately(now, pool);
-    uint32_t staying =
-        pool.hosts - std::min(pool.hosts, pool.leaving + pool.silent);
-    uint32_t coming = staying + pool.arriving;
+    uint32_t staying = pool.hosts - std::min(pool.hosts, pool.leaving_hosts +
+                                                             pool.silent_hosts);
+    uint32_t coming = staying + pool.arriving_hosts;
     balance.short_by = needed > coming ? needed - coming : 0;
     if (!InStartTime(now) && staying > needed)
       balance.can_give = std::min(staying - needed, pool.spare_hosts);
--- a/radishmoor/jobs/fleet_sizing.h
+++ b/radishmoor/jobs/fleet_sizing.h
@@ -35,15 +35,16 @@
   // What the work that arrives now needs.
   double offered_cores = 0;
   double cores_per_host = 1;
-  uint32_t hosts = 0;      // In use, those on their way included.
-  uint32_t silent = 0;     // Of these, without answers to the owner.
-  uint32_t leaving = 0;    // Of these, being emptied for a move.
-  uint32_t arriving = 0;   // Being emptied elsewhere for a move to this pool.
+  uint32_t hosts = 0;          // In use, those on their way included.
+  uint32_t silent_hosts = 0;   // Of these, without answers to the owner.
+  uint32_t leaving_hosts = 0;  // Of these, being emptied for a move.
+  uint32_t arriving_hosts =
+      0;                   // Being emptied elsewhere for a move to this pool.
   uint32_t min_hosts = 0;  // Long-running tasks need as many.
   // Hosts that can be emptied at once, with little or nothing on them. Of a
   // standby pool, with those that are being emptied to go there.
   uint32_t spare_hosts = 0;
-  bool known = true;  // The figures are recent.
+  bool figures_recent = true;
 };
 
 struct HostMoves {
--- a/radishmoor/jobs/job_table.cc
+++ b/radishmoor/jobs/job_table.cc
@@ -29,7 +29,7 @@
 
 bool Task::is_available() const {
   for (const Run& run : runs) {
-    if (run.phase == RunPhase::kRunning && run.percent >= 100 &&
+    if (run.phase == RunPhase::kRunning && run.progress_percent >= 100 &&
         !run.stop_wanted)
       return true;
   }
--- a/radishmoor/jobs/job_table.h
+++ b/radishmoor/jobs/job_table.h
@@ -39,11 +39,11 @@
   Time phase_since;
   Time start_sent_at;                  // When the start was sent.
   ServerMillis start_valid_until = 0;  // The start is refused after this time.
-  uint32_t percent = 0;
+  uint32_t progress_percent = 0;
   Time progress_changed_at;
   std::string checkpoint;  // Latest seen.
   int64_t load = 0;        // See RunningTask.
-  uint32_t pace = 100;     // Last ordered.
+  uint32_t ordered_pace_percent = 100;
   // Its slowness was held against the server before its end.
   bool counted_slow = false;
 
--- a/radishmoor/jobs/messages.h
+++ b/radishmoor/jobs/messages.h
@@ -58,7 +58,7 @@
 struct PaceRun {
   TaskId task;
   RunNumber run = 0;
-  uint32_t percent = 100;
+  uint32_t pace_percent = 100;
 };
 
 using ServerOrder = std::variant<StartRun, StopRun, PollServer, PaceRun>;
@@ -98,7 +98,7 @@
   TaskId task;
   RunNumber run = 0;
   std::string checkpoint;  // Latest.
-  uint32_t percent = 0;
+  uint32_t progress_percent = 0;
   // For a task with a tail limit: the tail of its response times in ms. For any
   // other: the cores in use, in thousandths. Over the last half second.
   int64_t load = 0;
--- a/radishmoor/jobs/node_core.cc
+++ b/radishmoor/jobs/node_core.cc
@@ -164,7 +164,7 @@
     it->second.plan = wave;
     // A wave from before the start of this process may have no time left.
     if (inserted)
-      it->second.seen = operators_known_ ? now : now - wave.length;
+      it->second.first_seen_at = operators_known_ ? now : now - wave.length;
     waves.push_back(it->second);
   }
   operators_known_ = true;
--- a/radishmoor/jobs/node_core.h
+++ b/radishmoor/jobs/node_core.h
@@ -62,7 +62,7 @@
   // Hands over what the process owns and ends.
   void Shutdown(Time now, WallMillis wall);
 
-  std::vector<JobAction> TakeActions() { return outbox_.TakeActions(); }
+  std::vector<JobAction> TakeActions() { return outbox_.TakeAllActions(); }
   Time next_wake() const { return next_wake_; }
 
   // New callers may come: without the store nothing can be accepted here, while
--- a/radishmoor/jobs/outbox.cc
+++ b/radishmoor/jobs/outbox.cc
@@ -82,7 +82,7 @@
   return messages;
 }
 
-std::vector<JobAction> Outbox::TakeActions() {
+std::vector<JobAction> Outbox::TakeAllActions() {
   return std::exchange(actions_, {});
 }
 
--- a/radishmoor/jobs/outbox.h
+++ b/radishmoor/jobs/outbox.h
@@ -3,7 +3,7 @@
 //
 //   Outbox outbox;
 //   uint64_t tag = outbox.CallStore(ReadRows{{"owner/a/lease"}});
-//   for (JobAction& action : outbox.TakeActions()) ...
+//   for (JobAction& action : outbox.TakeAllActions()) ...
 
 #ifndef RADISHMOOR_JOBS_OUTBOX_H_
 #define RADISHMOOR_JOBS_OUTBOX_H_
@@ -41,7 +41,7 @@
   // Removes the messages to one process and returns them in their order.
   std::vector<JobPeerMessage> TakeMessagesTo(const MemberId& to);
 
-  std::vector<JobAction> TakeActions();
+  std::vector<JobAction> TakeAllActions();
 
  private:
   uint64_t next_tag_ = 1;
--- a/radishmoor/jobs/pool_state.h
+++ b/radishmoor/jobs/pool_state.h
@@ -50,12 +50,12 @@
   uint64_t runs_failed = 0;
   uint64_t runs_stopped = 0;
   uint64_t runs_lease_expired = 0;
-  uint64_t runs_gang = 0;
+  uint64_t runs_ended_with_gang = 0;
   uint64_t server_polls = 0;
   uint64_t commits = 0;
   uint64_t commits_unknown = 0;
   uint64_t relocations = 0;
-  uint64_t copies = 0;
+  uint64_t speculative_starts = 0;
   uint64_t unreadable_rows = 0;
 };
 
--- a/radishmoor/jobs/run_control.cc
+++ b/radishmoor/jobs/run_control.cc
@@ -174,7 +174,7 @@
   ServerState* server = state_.servers.Find(run->server);
   if (server == nullptr)
     return;
-  run->pace = percent;
+  run->ordered_pace_percent = percent;
   uint64_t tag =
       outbox.SendOrder(run->server, server->listing.address, state_.token,
                        PaceRun{ref.task, ref.run, percent});
@@ -475,7 +475,7 @@
       break;
     case RunEnd::kGangBroken:
     case RunEnd::kGangAlone:
-      ++state_.counters.runs_gang;
+      ++state_.counters.runs_ended_with_gang;
       break;
   }
 }
@@ -608,8 +608,8 @@
       run->phase_since = now;
       run->progress_changed_at = now;
     }
-    if (run->percent != seen.percent) {
-      run->percent = seen.percent;
+    if (run->progress_percent != seen.progress_percent) {
+      run->progress_percent = seen.progress_percent;
       run->progress_changed_at = now;
     }
     run->load = seen.load;
--- a/radishmoor/jobs/server_table.h
+++ b/radishmoor/jobs/server_table.h
@@ -86,7 +86,7 @@
   Time quarantined_until;
   Time last_success;
 
-  Time paced;  // Latest change of a pace.
+  Time pace_changed_at;
 
   // The server is being emptied for maintenance or a move.
   bool vacating = false;
--- a/radishmoor/jobs/task_dispatch.cc
+++ b/radishmoor/jobs/task_dispatch.cc
@@ -449,15 +449,15 @@
                                   static_cast<double>(step.tail_limit.count()));
     }
     if (step.best_effort)
-      paced.emplace_back(ref, run->pace);
+      paced.emplace_back(ref, run->ordered_pace_percent);
   }
-  if (paced.empty() || now - server.paced < kPacePeriod)
+  if (paced.empty() || now - server.pace_changed_at < kPacePeriod)
     return;
   for (const auto& [ref, pace] : paced) {
     uint32_t next = NextPace(pace, worst);
     if (next == pace)
       continue;
-    server.paced = now;
+    server.pace_changed_at = now;
     runs_.SetPace(now, ref, next, outbox);
   }
 }
@@ -486,9 +486,10 @@
     if (other.step != task.step || other.done || other.runs.size() != 1)
       continue;
     const Run& run = other.runs.front();
-    if (run.phase == RunPhase::kRunning && run.percent >= kTellingPercent &&
+    if (run.phase == RunPhase::kRunning &&
+        run.progress_percent >= kTellingPercent &&
         run.server != task.runs.front().server)
-      projected.push_back((now - run.phase_since) * 100 / run.percent);
+      projected.push_back((now - run.phase_since) * 100 / run.progress_percent);
   }
   if (projected.size() < kTellingSiblings)
     return Duration::zero();
@@ -529,7 +530,7 @@
     return;
   }
   // What is left, as the run's own pace shows it.
-  double progress = std::max(1u, run.percent) / 100.0;
+  double progress = std::max(1u, run.progress_percent) / 100.0;
   Duration remaining(static_cast<int64_t>(static_cast<double>(age.count()) *
                                           (1 - progress) / progress));
   if (server->vacating || server->listing.draining) {
@@ -547,8 +548,8 @@
   }
   if (step.gang || !fresh || task.runs.size() > 1)
     return;
-  if (run.percent < 100 && now - run.progress_changed_at > kStandstill &&
-      age > kStandstill) {
+  if (run.progress_percent < 100 &&
+      now - run.progress_changed_at > kStandstill && age > kStandstill) {
     server->quarantined_until = now + kStandstillHoldBack;
     ++state_.counters.relocations;
     runs_.RequestStop(now, id, run.number, "no-progress", outbox);
@@ -586,7 +587,7 @@
   });
   UpdateLargestRoom(servers);
   if (PlanTask(now, job, occurrence, task, servers)) {
-    ++state_.counters.copies;
+    ++state_.counters.speculative_starts;
     outbox.LogDecision("copy-started",
                        {{"task", FormatTask(id)},
                         {"age_ms", WholeMilliseconds(age)},
--- a/radishmoor/jobs/testing/fleet_coordinator_test.cc
+++ b/radishmoor/jobs/testing/fleet_coordinator_test.cc
@@ -68,7 +68,7 @@
       if (coordinator_->wants_hosts())
         coordinator_->OnHosts(now_, hosts_, outbox_);
       for (int round = 0; round < 4; ++round) {
-        for (JobAction& action : outbox_.TakeActions())
+        for (JobAction& action : outbox_.TakeAllActions())
           Carry(action);
       }
     }
--- a/radishmoor/jobs/testing/fleet_sizing_test.cc
+++ b/radishmoor/jobs/testing/fleet_sizing_test.cc
@@ -120,7 +120,7 @@
   for (int i = 0; i < 10; ++i) {
     for (const HostMoves& move : sizing.Plan(kStart + kPeriod * i, pools, 50))
       moved += move.count;
-    pools[0].arriving = moved;
+    pools[0].arriving_hosts = moved;
   }
   // 400 cores at 80% use, and what the rise adds.
   REQUIRE(moved > 20);
@@ -134,7 +134,7 @@
   FleetSizing sizing(false, forecast);
   std::vector<PoolSizingInput> pools = {Pool("a", 100, 8), Standby(20)};
   REQUIRE(sizing.Plan(kStart, pools, 8).empty());
-  pools[0].silent = 4;
+  pools[0].silent_hosts = 4;
   REQUIRE_FALSE(sizing.Plan(kStart + kPeriod, pools, 8).empty());
 }
 
@@ -189,7 +189,7 @@
   PeakForecast forecast;
   FleetSizing sizing(false, forecast);
   std::vector<PoolSizingInput> pools = {Pool("a", 0, 9), Pool("b", 400, 9)};
-  pools[0].known = false;
+  pools[0].figures_recent = false;
   for (int i = 0; i < 30; ++i)
     REQUIRE(sizing.Plan(kStart + kPeriod * i, pools, 8).empty());
 }
--- a/radishmoor/jobs/testing/job_simulation.cc
+++ b/radishmoor/jobs/testing/job_simulation.cc
@@ -31,7 +31,7 @@
   MemberId name;
   std::string address;
   std::unique_ptr<NodeCore> core;
-  uint64_t life = 0;
+  uint64_t incarnation_number = 0;
   bool up = false;
   Time frozen_until;
   Time store_cut_until;
@@ -60,7 +60,7 @@
   Resources capacity{16000, 65536, 0};
   bool up = false;
   bool maintenance = false;
-  uint64_t life = 0;
+  uint64_t incarnation_number = 0;
   WallMillis incarnation_started_at = 0;
   Time started;
   double rate = 1;
@@ -182,30 +182,31 @@
   node.core = std::make_unique<NodeCore>(options);
   node.up = true;
   node.wake_at = kTimeMax;
-  uint64_t life = ++node.life;
-  OnNode(index, life, [this](NodeCore& core) { core.Start(now_, wall()); });
+  uint64_t incarnation_number = ++node.incarnation_number;
+  OnNode(index, incarnation_number,
+         [this](NodeCore& core) { core.Start(now_, wall()); });
 }
 
 void JobSimulation::OnNode(int index,
-                           uint64_t life,
+                           uint64_t incarnation_number,
                            std::function<void(NodeCore&)> step) {
   Node& node = *nodes_[static_cast<size_t>(index)];
-  if (!node.up || node.life != life)
+  if (!node.up || node.incarnation_number != incarnation_number)
     return;
   if (now_ < node.frozen_until) {
     At(node.frozen_until,
-       [this, index, life, step = std::move(step)]() mutable {
-         OnNode(index, life, std::move(step));
+       [this, index, incarnation_number, step = std::move(step)]() mutable {
+         OnNode(index, incarnation_number, std::move(step));
        });
     return;
   }
   step(*node.core);
   for (JobAction& action : node.core->TakeActions()) {
-    if (!node.up || node.life != life)
+    if (!node.up || node.incarnation_number != incarnation_number)
       return;
     Carry(index, std::move(action));
   }
-  if (node.up && node.life == life)
+  if (node.up && node.incarnation_number == incarnation_number)
     Wake(index);
 }
 
@@ -215,40 +216,42 @@
   if (node.core->next_wake() == kTimeMax || when >= node.wake_at)
     return;
   node.wake_at = when;
-  At(when, [this, index, life = node.life, when] {
+  At(when, [this, index, incarnation_number = node.incarnation_number, when] {
     Node& n = *nodes_[static_cast<size_t>(index)];
-    if (n.life == life && n.wake_at == when)
+    if (n.incarnation_number == incarnation_number && n.wake_at == when)
       n.wake_at = kTimeMax;
-    OnNode(index, life, [this](NodeCore& core) { core.Tick(now_, wall()); });
+    OnNode(index, incarnation_number,
+           [this](NodeCore& core) { core.Tick(now_, wall()); });
   });
 }
 
 void JobSimulation::Carry(int index, JobAction action) {
   Node& node = *nodes_[static_cast<size_t>(index)];
-  uint64_t life = node.life;
+  uint64_t incarnation_number = node.incarnation_number;
   if (auto* call = std::get_if<StoreCall>(&action)) {
-    CarryStore(index, life, *call);
+    CarryStore(index, incarnation_number, *call);
   } else if (auto* order = std::get_if<OrderToServer>(&action)) {
-    CarryOrder(index, life, *order);
+    CarryOrder(index, incarnation_number, *order);
   } else if (auto* list = std::get_if<ListServers>(&action)) {
     bool reached = now_ >= node.store_cut_until && now_ >= store_down_until_;
-    After(Latency() * 2, [this, index, life, tag = list->tag, reached] {
-      ServersReply reply{tag, reached, {}};
-      if (reached)
-        reply.servers = Listings();
-      OnNode(index, life, [this, reply](NodeCore& core) {
-        core.OnServers(now_, wall(), reply);
-      });
-    });
+    After(Latency() * 2,
+          [this, index, incarnation_number, tag = list->tag, reached] {
+            ServersReply reply{tag, reached, {}};
+            if (reached)
+              reply.servers = Listings();
+            OnNode(index, incarnation_number, [this, reply](NodeCore& core) {
+              core.OnServers(now_, wall(), reply);
+            });
+          });
   } else if (auto* follow = std::get_if<WatchOperatorChanges>(&action)) {
-    DeliverOperatorChanges(index, life, *follow);
+    DeliverOperatorChanges(index, incarnation_number, *follow);
   } else if (auto* host_call = std::get_if<HostCall>(&action)) {
-    CarryHostCall(index, life, *host_call);
+    CarryHostCall(index, incarnation_number, *host_call);
   } else if (auto* report = std::get_if<ReportWave>(&action)) {
     if (report->completed)
       completed_waves_.insert(report->wave);
-    After(Latency(), [this, index, life, tag = report->tag] {
-      OnNode(index, life, [this, tag](NodeCore& core) {
+    After(Latency(), [this, index, incarnation_number, tag = report->tag] {
+      OnNode(index, incarnation_number, [this, tag](NodeCore& core) {
         core.OnStoreAnswer(now_, wall(), {tag, CommittedReply{}});
       });
     });
@@ -261,13 +264,15 @@
       // The encoding is part of what is tested.
       std::string bytes =
           EncodeJobPeer({node.name, node.address, send->message});
-      After(Latency(), [this, to, peer_life = peer.life, bytes] {
+      After(Latency(), [this, to,
+                        peer_incarnation_number = peer.incarnation_number,
+                        bytes] {
         std::optional<JobPeerEnvelope> envelope = DecodeJobPeer(bytes);
         if (!envelope) {
           Violation("a message between processes cannot be decoded");
           return;
         }
-        OnNode(to, peer_life, [this, envelope](NodeCore& core) {
+        OnNode(to, peer_incarnation_number, [this, envelope](NodeCore& core) {
           core.OnPeer(now_, wall(), *envelope);
         });
       });
@@ -281,13 +286,14 @@
 }
 
 void JobSimulation::CarryStore(int index,
-                               uint64_t life,
+                               uint64_t incarnation_number,
                                const StoreCall& call) {
   Node& node = *nodes_[static_cast<size_t>(index)];
-  auto answer = [this, index, life, tag = call.tag](Duration delay,
-                                                    StoreReply reply) {
-    After(delay, [this, index, life, tag, reply = std::move(reply)] {
-      OnNode(index, life, [this, tag, reply](NodeCore& core) {
+  auto answer = [this, index, incarnation_number, tag = call.tag](
+                    Duration delay, StoreReply reply) {
+    After(delay, [this, index, incarnation_number, tag,
+                  reply = std::move(reply)] {
+      OnNode(index, incarnation_number, [this, tag, reply](NodeCore& core) {
         core.OnStoreAnswer(now_, wall(), {tag, reply});
       });
     });
@@ -348,7 +354,7 @@
 }
 
 void JobSimulation::DeliverOperatorChanges(int index,
-                                           uint64_t life,
+                                           uint64_t incarnation_number,
                                            const WatchOperatorChanges& follow) {
   Node& node = *nodes_[static_cast<size_t>(index)];
   OperatorChanges reply;
@@ -362,15 +368,15 @@
       reply.waves = waves_;
     }
   }
-  After(delay, [this, index, life, reply] {
-    OnNode(index, life, [this, reply](NodeCore& core) {
+  After(delay, [this, index, incarnation_number, reply] {
+    OnNode(index, incarnation_number, [this, reply](NodeCore& core) {
       core.OnOperatorChanges(now_, wall(), reply);
     });
   });
 }
 
 void JobSimulation::CarryHostCall(int index,
-                                  uint64_t life,
+                                  uint64_t incarnation_number,
                                   const HostCall& call) {
   HostReply reply;
   reply.tag = call.tag;
@@ -419,8 +425,8 @@
       reply.hosts.push_back(std::move(host));
     }
   }
-  After(Latency() * 2, [this, index, life, reply] {
-    OnNode(index, life, [this, reply](NodeCore& core) {
+  After(Latency() * 2, [this, index, incarnation_number, reply] {
+    OnNode(index, incarnation_number, [this, reply](NodeCore& core) {
       core.OnHostReply(now_, wall(), reply);
     });
   });
@@ -461,8 +467,9 @@
   Server& server = *servers_[index];
   server.id = std::move(id);
   server.up = true;
-  ++server.life;
-  server.incarnation_started_at = wall() + static_cast<WallMillis>(server.life);
+  ++server.incarnation_number;
+  server.incarnation_started_at =
+      wall() + static_cast<WallMillis>(server.incarnation_number);
   server.started = now_;
   server.fence = 0;
   server.lease_until = 0;
@@ -479,7 +486,7 @@
   server.ended_at = now_;
   server.running.clear();
   server.held.clear();
-  ++server.life;
+  ++server.incarnation_number;
 }
 
 ServerMillis JobSimulation::ClockOf(const Server& server) const {
@@ -489,11 +496,12 @@
 }
 
 void JobSimulation::CarryOrder(int index,
-                               uint64_t life,
+                               uint64_t incarnation_number,
                                const OrderToServer& order) {
-  auto answer = [this, index, life](Duration delay, ServerReply reply) {
-    After(delay, [this, index, life, reply = std::move(reply)] {
-      OnNode(index, life, [this, reply](NodeCore& core) {
+  auto answer = [this, index, incarnation_number](Duration delay,
+                                                  ServerReply reply) {
+    After(delay, [this, index, incarnation_number, reply = std::move(reply)] {
+      OnNode(index, incarnation_number, [this, reply](NodeCore& core) {
         core.OnServerReply(now_, wall(), reply);
       });
     });
@@ -531,9 +539,10 @@
     });
   }
   After(arrives, [this, target, order, answered, answer, late,
-                  server_life = target->life] {
+                  server_incarnation_number = target->incarnation_number] {
     // The server itself holds a late order, which is lost with its life.
-    if (!target->up || (late && target->life != server_life))
+    if (!target->up ||
+        (late && target->incarnation_number != server_incarnation_number))
       return;
     ServerReply reply;
     reply.tag = order.tag;
@@ -554,8 +563,9 @@
       return;
     }
     auto finish = [this, target, order, answered, answer,
-                   server_life = target->life] {
-      if (*answered || !target->up || target->life != server_life)
+                   server_incarnation_number = target->incarnation_number] {
+      if (*answered || !target->up ||
+          target->incarnation_number != server_incarnation_number)
         return;
       *answered = true;
       OrderToServer again = order;
@@ -593,9 +603,10 @@
     if (it != server.running.end() && it->second.run <= stop->run &&
         !it->second.stopping) {
       it->second.stopping = true;
-      After(kStopTime, [this, &server, task = stop->task, life = server.life] {
-        if (server.up && server.life == life && server.running.contains(task) &&
-            server.running.at(task).stopping)
+      After(kStopTime, [this, &server, task = stop->task,
+                        incarnation_number = server.incarnation_number] {
+        if (server.up && server.incarnation_number == incarnation_number &&
+            server.running.contains(task) && server.running.at(task).stopping)
           EndRun(server, task, RunEnd::kStopped);
       });
     }
@@ -663,10 +674,10 @@
   run.fails = random_.Chance(0.02);
   server.running[start.task] = run;
   After(run.length, [this, &server, task = start.task, number = start.run,
-                     life = server.life] {
+                     incarnation_number = server.incarnation_number] {
     auto found = server.running.find(task);
-    if (!server.up || server.life != life || found == server.running.end() ||
-        found->second.run != number)
+    if (!server.up || server.incarnation_number != incarnation_number ||
+        found == server.running.end() || found->second.run != number)
       return;
     EndRun(server, task, found->second.fails ? RunEnd::kFailed : RunEnd::kDone);
   });
@@ -834,9 +845,10 @@
   }
   if (!node.up)
     return;
-  After(Latency(), [this, index, life = node.life, call]() mutable {
+  After(Latency(), [this, index, incarnation_number = node.incarnation_number,
+                    call]() mutable {
     call.arrived = now_;
-    OnNode(index, life,
+    OnNode(index, incarnation_number,
            [this, call](NodeCore& core) { core.OnCall(now_, wall(), call); });
   });
 }
@@ -935,13 +947,13 @@
   if (!node.up)
     return;
   node.up = false;
-  ++node.life;
+  ++node.incarnation_number;
   After(down, [this, index] { StartNode(index); });
 }
 
 void JobSimulation::StopNode(int index) {
   Node& node = *nodes_[static_cast<size_t>(index)];
-  OnNode(index, node.life,
+  OnNode(index, node.incarnation_number,
          [this](NodeCore& core) { core.Shutdown(now_, wall()); });
 }
 
--- a/radishmoor/jobs/testing/job_simulation.h
+++ b/radishmoor/jobs/testing/job_simulation.h
@@ -113,18 +113,26 @@
   void StartNode(int index);
   // Runs `step` on the node's core if that life of it is still there, later if
   // it is frozen; then carries out what the core asks for.
-  void OnNode(int index, uint64_t life, std::function<void(NodeCore&)> step);
+  void OnNode(int index,
+              uint64_t incarnation_number,
+              std::function<void(NodeCore&)> step);
   void Carry(int index, JobAction action);
   void Wake(int index);
-  void CarryStore(int index, uint64_t life, const StoreCall& call);
+  void CarryStore(int index,
+                  uint64_t incarnation_number,
+                  const StoreCall& call);
   // When a call that arrives at `arrives` is carried out; nothing if too many
   // transactions wait for its partition.
   std::optional<Time> StoreTurn(Time arrives, const StoreRequest& request);
   Duration Slowed(Duration usual) const;
-  void CarryOrder(int index, uint64_t life, const OrderToServer& order);
-  void CarryHostCall(int index, uint64_t life, const HostCall& call);
+  void CarryOrder(int index,
+                  uint64_t incarnation_number,
+                  const OrderToServer& order);
+  void CarryHostCall(int index,
+                     uint64_t incarnation_number,
+                     const HostCall& call);
   void DeliverOperatorChanges(int index,
-                              uint64_t life,
+                              uint64_t incarnation_number,
                               const WatchOperatorChanges& follow);
   std::vector<ServerListing> Listings() const;
 
--- a/radishmoor/jobs/testing/pool_scheduler_test.cc
+++ b/radishmoor/jobs/testing/pool_scheduler_test.cc
@@ -61,7 +61,7 @@
     for (Time end = now_ + length; now_ < end && commits > 0;
          now_ += Milliseconds(5)) {
       owner_->Tick(now_, 0, outbox_);
-      for (const JobAction& action : outbox_.TakeActions()) {
+      for (const JobAction& action : outbox_.TakeAllActions()) {
         const auto* call = std::get_if<StoreCall>(&action);
         if (call == nullptr)
           continue;
--- a/radishmoor/jobs/testing/task_dispatch_test.cc
+++ b/radishmoor/jobs/testing/task_dispatch_test.cc
@@ -34,7 +34,7 @@
     run.number = ++task.last_run;
     run.server = ServerId(server);
     run.phase = RunPhase::kRunning;
-    run.percent = percent;
+    run.progress_percent = percent;
     run.phase_since = run.start_sent_at = run.progress_changed_at =
         kNow - Milliseconds(100);
     task.runs.push_back(run);
@@ -48,7 +48,7 @@
     Outbox outbox;
     dispatch_.Review(kNow, outbox);
     size_t stops = 0;
-    for (const JobAction& action : outbox.TakeActions()) {
+    for (const JobAction& action : outbox.TakeAllActions()) {
       const auto* order = std::get_if<OrderToServer>(&action);
       stops +=
           order != nullptr && std::holds_alternative<StopRun>(order->order);
@@ -169,7 +169,7 @@
   pool.dispatch_.Plan(kNow, outbox);
   pool.dispatch_.Plan(kNow, outbox);
   REQUIRE(pool.state_.planned.empty());
-  std::vector<JobAction> actions = outbox.TakeActions();
+  std::vector<JobAction> actions = outbox.TakeAllActions();
   REQUIRE(actions.size() == 1);
   const auto& ask = std::get<PlacementAdviceRequest>(actions[0]);
   REQUIRE(ask.servers.size() == 2);
--- a/radishmoor/service/control_service.cc
+++ b/radishmoor/service/control_service.cc
@@ -286,7 +286,7 @@
   auto set = [this](const char* name, const char* help, uint64_t value) {
     metrics_.AddGauge(name, help).Set(static_cast<double>(value));
   };
-  FleetCounters figures = core_->controller().figures();
+  FleetCounters figures = core_->controller().fleet_counters();
   set("radishmoor_control_commits", "Changes committed.", figures.commits);
   set("radishmoor_control_conflicts", "Changes that lost a race.",
       figures.conflicts);
--- a/radishmoor/service/entry_service.cc
+++ b/radishmoor/service/entry_service.cc
@@ -151,11 +151,13 @@
           loop,
           {.on_opened =
                [this](ConnectionId id) {
-                 Run(core_->Opened(loop_.now(), loop_.wall_now(), id));
+                 Run(core_->OnConnectionOpened(loop_.now(), loop_.wall_now(),
+                                               id));
                },
            .on_open_failed =
                [this](ConnectionId id, const std::string&) {
-                 Run(core_->OpenFailed(loop_.now(), loop_.wall_now(), id));
+                 Run(core_->OnConnectionOpenFailed(loop_.now(),
+                                                   loop_.wall_now(), id));
                },
            .on_response =
                [this](ConnectionId id, HttpResponse response, bool reusable) {
@@ -163,11 +165,13 @@
                },
            .on_exchange_failed =
                [this](ConnectionId id, const std::string&) {
-                 Run(core_->ConnectionEnded(loop_.now(), loop_.wall_now(), id));
+                 Run(core_->OnConnectionEnded(loop_.now(), loop_.wall_now(),
+                                              id));
                },
            .on_closed =
                [this](ConnectionId id) {
-                 Run(core_->ConnectionEnded(loop_.now(), loop_.wall_now(), id));
+                 Run(core_->OnConnectionEnded(loop_.now(), loop_.wall_now(),
+                                              id));
                }}),
       store_(loop, EndpointOf(settings.platform_address), kStoreTimeout),
       peers_(loop, [this](const PeerEnvelope& e) { OnPeer(e); }),
@@ -292,7 +296,7 @@
     answer.encoded = EncodeAnswer(response);
   response_connection_ = id;
   response_ = std::move(response);
-  Run(core_->Answered(loop_.now(), loop_.wall_now(), answer));
+  Run(core_->OnBackendAnswer(loop_.now(), loop_.wall_now(), answer));
   response_connection_ = {};
   response_ = {};
 }
@@ -301,7 +305,7 @@
   auto endpoint = ParseEndpoint(open.address);
   if (!endpoint) {
     loop_.Post([this, id = open.connection] {
-      Run(core_->OpenFailed(loop_.now(), loop_.wall_now(), id));
+      Run(core_->OnConnectionOpenFailed(loop_.now(), loop_.wall_now(), id));
     });
     return;
   }
@@ -314,7 +318,7 @@
       write.connection, ForwardedRequest(caller.request, caller.service.str()));
   if (!sent) {
     loop_.Post([this, id = write.connection] {
-      Run(core_->ConnectionEnded(loop_.now(), loop_.wall_now(), id));
+      Run(core_->OnConnectionEnded(loop_.now(), loop_.wall_now(), id));
     });
   }
 }
