--- a/radishmoor/fleet/lending.h
+++ b/radishmoor/fleet/lending.h
@@ -3,7 +3,7 @@
 // A host whose `wanted_pool` is a spare pool is at home there and may be placed
 // in any other pool; no further record is needed to bring it back.
 //
-//   LendingPolicy policy = Hysteresis{options};
+//   LendingPolicy policy = HysteresisLending{options};
 //   Lender lender(policy);
 //   lender.ObserveLoads(now, loads);
 //   LendingPlan plan = lender.Plan(now, state);
