--- a/radishmoor/jobs/fleet_sizing.h
+++ b/radishmoor/jobs/fleet_sizing.h
@@ -23,11 +23,11 @@
 
 #include "radishmoor/base/ids.h"
 #include "radishmoor/base/time.h"
-#include "radishmoor/jobs/turn_forecast.h"
+#include "radishmoor/jobs/peak_forecast.h"
 
 namespace radishmoor {
 
-struct PoolSize {
+struct PoolSizingInput {
   PoolId pool;
   bool standby = false;
   // Cores of running and ready tasks; of a pool with an owner that is heard.
@@ -35,15 +35,16 @@
   // What the work that arrives now needs.
   double offered_cores = 0;
   double cores_per_host = 1;
-  uint32_t hosts = 0;      // In use, those on their way included.
-  uint32_t silent = 0;     // Of these, without answers to the owner.
-  uint32_t leaving = 0;    // Of these, being emptied for a move.
-  uint32_t arriving = 0;   // Being emptied elsewhere for a move to this pool.
+  uint32_t hosts = 0;          // In use, those on their way included.
+  uint32_t silent_hosts = 0;   // Of these, without answers to the owner.
+  uint32_t leaving_hosts = 0;  // Of these, being emptied for a move.
+  uint32_t arriving_hosts =
+      0;                   // Being emptied elsewhere for a move to this pool.
   uint32_t min_hosts = 0;  // Long-running tasks need as many.
   // Hosts that can be emptied at once, with little or nothing on them. Of a
   // standby pool, with those that are being emptied to go there.
   uint32_t spare_hosts = 0;
-  bool known = true;  // The figures are recent.
+  bool figures_recent = true;
 };
 
 struct HostMoves {
@@ -56,12 +57,12 @@
  public:
   // `new_site`: the queues have not been used yet. `forecast` is kept up to
   // date by its owner and outlives this object.
-  FleetSizing(bool new_site, const TurnForecast& forecast)
+  FleetSizing(bool new_site, const PeakForecast& forecast)
       : new_site_(new_site), forecast_(forecast) {}
 
   // The moves to begin now. At most `limit` hosts.
   std::vector<HostMoves> Plan(Time now,
-                              std::span<const PoolSize> pools,
+                              std::span<const PoolSizingInput> pools,
                               uint32_t limit);
 
  private:
@@ -78,17 +79,17 @@
   };
 
   // Hosts that the pool needs now.
-  uint32_t Needed(Time now, const PoolSize& pool);
+  uint32_t Needed(Time now, const PoolSizingInput& pool);
   // The most that it needed lately; never less than it has in the first
   // seconds.
-  uint32_t NeededLately(Time now, const PoolSize& pool);
+  uint32_t NeededLately(Time now, const PoolSizingInput& pool);
 
   bool InStartTime(Time now) const;
 
   bool new_site_;
   bool used_ = false;
   std::map<PoolId, History> history_;
-  const TurnForecast& forecast_;
+  const PeakForecast& forecast_;
   std::optional<Time> started_;
 };
 
