--- a/radishmoor/jobs/fleet_sizing.cc
+++ b/radishmoor/jobs/fleet_sizing.cc
@@ -6,84 +6,94 @@
 namespace radishmoor {
 namespace {
 
-// Share of a pool's cores that tasks can fill before short ones have to wait.
-constexpr double kUsableShare = 0.8;
-// A host that moves serves its new pool after about this time.
-constexpr double kLeadSeconds = 1.8;
-// Hosts for a foreseen peak must first be emptied elsewhere.
+// Share of a pool's cores that tasks can fill before short tasks have to wait.
+constexpr double kUsableCoreShare = 0.8;
+// Time from the decision to move a host until it serves its new pool.
+constexpr double kMoveLeadSeconds = 1.8;
+// Hosts for a predicted peak must first be emptied in another pool.
 constexpr Duration kForecastLead = Milliseconds(1800);
-constexpr Duration kSurplusTime = Milliseconds(1700);
-// Queues are quiet before the first callers come: until a pool has this share
-// of its cores in use, or the time has passed, all pools keep their hosts.
-constexpr double kUsedShare = 0.25;
-constexpr Duration kStartTime = Seconds(30);
-// The slope follows demand with this weight at each plan.
+// A pool gives hosts to standby only if it did not need them for this long.
+constexpr Duration kSurplusWindow = Milliseconds(1700);
+// The queues of a new site are quiet until the first callers come. All pools
+// keep their hosts until a pool has this share of its cores in use, or until
+// the startup period has passed.
+constexpr double kSiteUsedShare = 0.25;
+constexpr Duration kStartupPeriod = Seconds(30);
+// Weights of the newest sample in the exponential averages of a pool's demand
+// and of its slope. They apply per call of Plan().
 constexpr double kDemandWeight = 0.7;
 constexpr double kSlopeWeight = 0.3;
-constexpr double kMaxRise = 0.5;
-// A pool keeps as many, for the first jobs of a peak.
-constexpr uint32_t kMinHosts = 4;
-constexpr double kMaxStep = 1.0;  // Seconds; older samples say nothing.
+// The expected rise is limited to this share of the demand plus one host.
+constexpr double kMaxRiseShare = 0.5;
+// A pool keeps at least this many hosts for the first jobs of a peak.
+constexpr uint32_t kMinHostsPerPool = 4;
+// A sample that follows the one before after a longer gap gives no slope.
+constexpr double kMaxSampleGapSeconds = 1.0;
 
 }  // namespace
 
-uint32_t FleetSizing::Needed(Time now, const PoolSizingInput& pool) {
-  History& history = history_[pool.pool];
-  double elapsed = ToSeconds(now - history.at);
-  if (history.seen && elapsed > 0 && elapsed < kMaxStep) {
-    double before = history.demand;
-    history.demand += kDemandWeight * (pool.demand_cores - before);
-    double slope = (history.demand - before) / elapsed;
-    history.slope += kSlopeWeight * (slope - history.slope);
+uint32_t FleetSizing::UpdateNeededHosts(Time now, const PoolSizingInput& pool) {
+  DemandHistory& history = history_[pool.pool];
+  double elapsed = ToSeconds(now - history.updated_at);
+  if (history.initialized && elapsed > 0 && elapsed < kMaxSampleGapSeconds) {
+    double before = history.smoothed_cores;
+    history.smoothed_cores += kDemandWeight * (pool.demand_cores - before);
+    double slope = (history.smoothed_cores - before) / elapsed;
+    history.smoothed_slope += kSlopeWeight * (slope - history.smoothed_slope);
   } else {
-    history.demand = pool.demand_cores;
-    history.slope = 0;
+    history.smoothed_cores = pool.demand_cores;
+    history.smoothed_slope = 0;
   }
-  history.seen = true;
-  history.at = now;
-  // One large job must not be taken for the beginning of a peak.
-  double rise = std::min(std::max(0.0, history.slope) * kLeadSeconds,
-                         kMaxRise * history.demand + pool.cores_per_host);
-  double foreseen = forecast_.ExpectedCores(now, kForecastLead, pool.pool);
-  double expected =
-      std::max({history.demand + rise, pool.offered_cores, foreseen});
-  double usable = std::max(1.0, pool.cores_per_host * kUsableShare);
-  auto needed = static_cast<uint32_t>(std::ceil(expected / usable));
-  needed = std::max({needed, pool.min_hosts, kMinHosts});
+  history.initialized = true;
+  history.updated_at = now;
+  // The limit keeps one large job from being taken for the start of a peak.
+  double expected_rise =
+      std::min(std::max(0.0, history.smoothed_slope) * kMoveLeadSeconds,
+               kMaxRiseShare * history.smoothed_cores + pool.cores_per_host);
+  double forecast_cores =
+      forecast_.ExpectedCores(now, kForecastLead, pool.pool);
+  double expected_cores = std::max({history.smoothed_cores + expected_rise,
+                                    pool.offered_cores, forecast_cores});
+  double usable_cores_per_host =
+      std::max(1.0, pool.cores_per_host * kUsableCoreShare);
+  auto needed =
+      static_cast<uint32_t>(std::ceil(expected_cores / usable_cores_per_host));
+  needed = std::max({needed, pool.min_hosts, kMinHostsPerPool});
   history.samples.push_back({now, needed});
-  while (now - history.samples.front().at > kSurplusTime)
+  while (now - history.samples.front().at > kSurplusWindow)
     history.samples.pop_front();
   return needed;
 }
 
-bool FleetSizing::InStartTime(Time now) const {
-  return new_site_ && !used_ && now - *started_ < kStartTime;
+bool FleetSizing::InStartupPeriod(Time now) const {
+  return new_site_ && !site_used_ && now - *first_plan_at_ < kStartupPeriod;
 }
 
-uint32_t FleetSizing::NeededLately(Time now, const PoolSizingInput& pool) {
-  if (InStartTime(now))
+uint32_t FleetSizing::MaxRecentlyNeededHosts(Time now,
+                                             const PoolSizingInput& pool) {
+  if (InStartupPeriod(now))
     return pool.hosts;
   uint32_t most = 0;
-  for (const Sample& sample : history_[pool.pool].samples)
-    most = std::max(most, sample.needed);
+  for (const NeedSample& sample : history_[pool.pool].samples)
+    most = std::max(most, sample.needed_hosts);
   return most;
 }
 
 std::vector<HostMoves> FleetSizing::Plan(Time now,
                                          std::span<const PoolSizingInput> pools,
                                          uint32_t limit) {
-  if (!started_)
-    started_ = now;
+  if (!first_plan_at_)
+    first_plan_at_ = now;
   for (const PoolSizingInput& pool : pools) {
     double cores = pool.cores_per_host * pool.hosts;
-    used_ = used_ ||
-            (pool.figures_recent && pool.demand_cores > kUsedShare * cores);
+    site_used_ = site_used_ || (pool.figures_recent &&
+                                pool.demand_cores > kSiteUsedShare * cores);
   }
   struct Balance {
     const PoolSizingInput* pool = nullptr;
-    uint32_t short_by = 0;
-    uint32_t can_give = 0;     // To pools that are short of hosts.
-    uint32_t can_put_off = 0;  // To standby.
+    uint32_t missing_hosts = 0;
+    uint32_t surplus_for_pools = 0;
+    uint32_t surplus_for_standby = 0;
   };
   std::vector<Balance> balances;
   PoolId standby;
@@ -91,40 +101,44 @@
     Balance balance{&pool};
     if (pool.standby) {
       standby = pool.pool;
-      balance.can_give = pool.spare_hosts;
+      balance.surplus_for_pools = pool.spare_hosts;
       balances.push_back(balance);
       continue;
     }
     if (!pool.figures_recent)
       continue;
-    uint32_t needed = Needed(now, pool);
-    uint32_t lately = NeededLately(now, pool);
+    uint32_t needed = UpdateNeededHosts(now, pool);
+    uint32_t recently_needed = MaxRecentlyNeededHosts(now, pool);
     uint32_t staying = pool.hosts - std::min(pool.hosts, pool.leaving_hosts +
                                                              pool.silent_hosts);
-    uint32_t coming = staying + pool.arriving_hosts;
-    balance.short_by = needed > coming ? needed - coming : 0;
-    if (!InStartTime(now) && staying > needed)
-      balance.can_give = std::min(staying - needed, pool.spare_hosts);
-    if (staying > lately)
-      balance.can_put_off = std::min(staying - lately, pool.spare_hosts);
+    uint32_t staying_or_arriving = staying + pool.arriving_hosts;
+    balance.missing_hosts =
+        needed > staying_or_arriving ? needed - staying_or_arriving : 0;
+    if (!InStartupPeriod(now) && staying > needed)
+      balance.surplus_for_pools = std::min(staying - needed, pool.spare_hosts);
+    if (staying > recently_needed)
+      balance.surplus_for_standby =
+          std::min(staying - recently_needed, pool.spare_hosts);
     balances.push_back(balance);
   }
   std::stable_sort(balances.begin(), balances.end(),
                    [](const Balance& a, const Balance& b) {
-                     return a.short_by > b.short_by;
+                     return a.missing_hosts > b.missing_hosts;
                    });
   std::vector<HostMoves> moves;
-  for (Balance& taker : balances) {
+  for (Balance& receiver : balances) {
+    // Standby pools give in the first round, other pools in the second.
     for (int round = 0; round < 2; ++round) {
       for (Balance& giver : balances) {
-        bool wanted_round = giver.pool->standby == (round == 0);
-        uint32_t count = std::min({taker.short_by, giver.can_give, limit});
-        if (!wanted_round || count == 0)
+        bool giver_in_round = giver.pool->standby == (round == 0);
+        uint32_t count =
+            std::min({receiver.missing_hosts, giver.surplus_for_pools, limit});
+        if (!giver_in_round || count == 0)
           continue;
-        moves.push_back({giver.pool->pool, taker.pool->pool, count});
-        taker.short_by -= count;
-        giver.can_give -= count;
-        giver.can_put_off -= std::min(giver.can_put_off, count);
+        moves.push_back({giver.pool->pool, receiver.pool->pool, count});
+        receiver.missing_hosts -= count;
+        giver.surplus_for_pools -= count;
+        giver.surplus_for_standby -= std::min(giver.surplus_for_standby, count);
         limit -= count;
       }
     }
@@ -132,7 +146,7 @@
   if (standby.empty())
     return moves;
   for (const Balance& giver : balances) {
-    uint32_t count = std::min(giver.can_put_off, limit);
+    uint32_t count = std::min(giver.surplus_for_standby, limit);
     if (giver.pool->standby || count == 0)
       continue;
     moves.push_back({giver.pool->pool, standby, count});
--- a/radishmoor/jobs/fleet_sizing.h
+++ b/radishmoor/jobs/fleet_sizing.h
@@ -1,15 +1,16 @@
-// How many hosts each pool should have, and which moves lead there.
+// Decides how many hosts each pool needs and which hosts move between pools.
 //
-// Load that it answers: queues whose demand rises in turn to several times
-// their mean, more than their pool holds, for some seconds, while the other
-// pools are nearly idle. Hosts go where demand is, from standby pools first and
-// then from pools with hosts to spare; hosts that no pool needs go to standby,
-// where they cost nothing.
+// The sizing is meant for queues whose demand rises in rotation to several
+// times its mean for some seconds, more than the hosts of the pool can serve,
+// while the other pools are nearly idle. A pool that is short of hosts gets
+// them from standby pools first and then from pools with spare hosts. Hosts
+// that no pool needs go to a standby pool, where they cost nothing.
 //
-// A move costs as much as a host in a pool for a second or so, so a pool gives
-// hosts up only when it had too many for a while, by the highest demand of that
-// time. Before a new site is used nothing is known of its queues, so all keep
-// theirs.
+// A move costs about as much as a host in a pool costs in one second.
+// Therefore a pool gives hosts to standby only if it had more than it needed
+// for some time; the highest need of that time counts. On a new site nothing is
+// known about the queues until they are used, so until then all pools keep
+// their hosts.
 
 #ifndef RADISHMOOR_JOBS_FLEET_SIZING_H_
 #define RADISHMOOR_JOBS_FLEET_SIZING_H_
@@ -30,20 +31,24 @@
 struct PoolSizingInput {
   PoolId pool;
   bool standby = false;
-  // Cores of running and ready tasks; of a pool with an owner that is heard.
+  // Cores that running and ready tasks need, from the owner's heartbeat.
   double demand_cores = 0;
-  // What the work that arrives now needs.
+  // Cores that the arriving work keeps busy, from the owner's heartbeat.
   double offered_cores = 0;
   double cores_per_host = 1;
-  uint32_t hosts = 0;          // In use, those on their way included.
-  uint32_t silent_hosts = 0;   // Of these, without answers to the owner.
-  uint32_t leaving_hosts = 0;  // Of these, being emptied for a move.
-  uint32_t arriving_hosts =
-      0;                   // Being emptied elsewhere for a move to this pool.
-  uint32_t min_hosts = 0;  // Long-running tasks need as many.
-  // Hosts that can be emptied at once, with little or nothing on them. Of a
-  // standby pool, with those that are being emptied to go there.
+  // Hosts that serve the pool or are moving to it. `silent_hosts` and
+  // `leaving_hosts` are included, `arriving_hosts` are not.
+  uint32_t hosts = 0;
+  uint32_t silent_hosts = 0;    // Hosts that do not answer the pool's owner.
+  uint32_t leaving_hosts = 0;   // Hosts being emptied for a move away.
+  uint32_t arriving_hosts = 0;  // Hosts of other pools being emptied for a move
+                                // to this pool.
+  uint32_t min_hosts = 0;       // Hosts that long-running tasks need.
+  // Hosts that can be emptied soon because they run little or nothing. For a
+  // standby pool this includes hosts that are being emptied to move there.
   uint32_t spare_hosts = 0;
+  // False if no recent heartbeat of the pool's owner is known; the pool is then
+  // left as it is.
   bool figures_recent = true;
 };
 
@@ -55,42 +60,47 @@
 
 class FleetSizing {
  public:
-  // `new_site`: the queues have not been used yet. `forecast` is kept up to
-  // date by its owner and outlives this object.
+  // `new_site` tells that the queues have not been used yet. `forecast` is
+  // updated by the caller and must outlive this object.
   FleetSizing(bool new_site, const PeakForecast& forecast)
       : new_site_(new_site), forecast_(forecast) {}
 
-  // The moves to begin now. At most `limit` hosts.
+  // Returns the moves to start now, of at most `limit` hosts in total. Each
+  // call adds a sample to the demand history, so it should be made several
+  // times a second.
   std::vector<HostMoves> Plan(Time now,
                               std::span<const PoolSizingInput> pools,
                               uint32_t limit);
 
  private:
-  struct Sample {
+  struct NeedSample {
     Time at;
-    uint32_t needed = 0;  // Hosts.
+    uint32_t needed_hosts = 0;
   };
-  struct History {
-    double demand = 0;
-    double slope = 0;  // Cores a second, smoothed.
-    Time at;
-    bool seen = false;
-    std::deque<Sample> samples;  // Of the time that kSurplusTime looks back.
+  struct DemandHistory {
+    double smoothed_cores = 0;
+    double smoothed_slope = 0;  // Cores per second.
+    Time updated_at;
+    bool initialized = false;
+    std::deque<NeedSample> samples;  // Of the last kSurplusWindow.
   };
 
-  // Hosts that the pool needs now.
-  uint32_t Needed(Time now, const PoolSizingInput& pool);
-  // The most that it needed lately; never less than it has in the first
-  // seconds.
-  uint32_t NeededLately(Time now, const PoolSizingInput& pool);
+  // Adds a sample to the pool's history. Returns the number of hosts that the
+  // pool needs now.
+  uint32_t UpdateNeededHosts(Time now, const PoolSizingInput& pool);
+  // Returns the largest number of hosts that the pool needed within
+  // kSurplusWindow; in the startup period, the number that it has.
+  uint32_t MaxRecentlyNeededHosts(Time now, const PoolSizingInput& pool);
 
-  bool InStartTime(Time now) const;
+  // Returns true while a new site has not been used and all pools keep their
+  // hosts.
+  bool InStartupPeriod(Time now) const;
 
   bool new_site_;
-  bool used_ = false;
-  std::map<PoolId, History> history_;
+  bool site_used_ = false;
+  std::map<PoolId, DemandHistory> history_;
   const PeakForecast& forecast_;
-  std::optional<Time> started_;
+  std::optional<Time> first_plan_at_;
 };
 
 }  // namespace radishmoor
--- a/radishmoor/jobs/peak_forecast.cc
+++ b/radishmoor/jobs/peak_forecast.cc
@@ -8,24 +8,26 @@
 namespace radishmoor {
 namespace {
 
-// A turn begins when a pool is offered work for this many hosts and this share
-// of its highest peak, and ends below the other share of its present peak.
-constexpr double kLeastHosts = 3;
-constexpr double kBeginShare = 0.4;
-constexpr double kEndShare = 0.25;
-// Turns that are remembered: some rounds of a few pools.
-constexpr size_t kMaxTurns = 24;
-// Intervals that must agree, by this part of the median, and by no more than
-// kLooseInterval in short ones.
+// A peak begins when the work offered to a pool needs at least this many hosts
+// and this share of the maximum of the pool's last peak. It ends when the
+// offered work falls below kPeakEndShare of the maximum of the current peak.
+constexpr double kMinPeakHosts = 3;
+constexpr double kPeakBeginShare = 0.4;
+constexpr double kPeakEndShare = 0.25;
+// Enough for several rotations over a few pools.
+constexpr size_t kMaxRecordedPeaks = 24;
+// Peaks are regular if at least kMinIntervals intervals are known and the
+// latest ones, up to kMaxIntervals, differ from their median by at most this
+// share of it. Short intervals may differ by kMinIntervalTolerance.
 constexpr size_t kMinIntervals = 3;
 constexpr size_t kMaxIntervals = 5;
-constexpr double kIntervalTolerance = 0.25;
-constexpr Duration kLooseInterval = Milliseconds(600);
-constexpr size_t kMinPools = 3;
-// An expected turn that is this late does not come.
-constexpr Duration kPatience = Milliseconds(1500);
-// A peak is met with this share of what the last one took: the rest follows
-// when it shows.
+constexpr double kIntervalToleranceShare = 0.25;
+constexpr Duration kMinIntervalTolerance = Milliseconds(600);
+constexpr size_t kMinPoolsInRotation = 3;
+// A predicted peak that is later than this is taken to have failed to appear.
+constexpr Duration kMaxPeakDelay = Milliseconds(1500);
+// Share of a pool's last peak for which hosts are requested in advance. The
+// remaining hosts follow once the peak is observed.
 constexpr double kPreparedShare = 0.8;
 
 }  // namespace
@@ -33,84 +35,92 @@
 void PeakForecast::Observe(Time now,
                            const PoolId& pool,
                            double offered_cores,
-                           double host_cores) {
+                           double cores_per_host) {
   PoolHistory& history = pools_[pool];
-  double begin =
-      std::max(kLeastHosts * host_cores, kBeginShare * history.last_height);
-  if (!history.peaks && offered_cores >= begin) {
-    history.peaks = true;
-    history.peak = 0;
-    BeginTurn(now, pool);
+  double begin_cores = std::max(kMinPeakHosts * cores_per_host,
+                                kPeakBeginShare * history.last_peak_cores);
+  if (!history.in_peak && offered_cores >= begin_cores) {
+    history.in_peak = true;
+    history.max_offered_cores = 0;
+    RecordPeakStart(now, pool);
   }
-  if (history.peaks) {
-    history.peak = std::max(history.peak, offered_cores);
-    history.last_height = std::max(history.last_height, history.peak);
-    if (offered_cores < kEndShare * history.peak) {
-      history.peaks = false;
-      history.last_height = history.peak;
+  if (history.in_peak) {
+    history.max_offered_cores =
+        std::max(history.max_offered_cores, offered_cores);
+    history.last_peak_cores =
+        std::max(history.last_peak_cores, history.max_offered_cores);
+    if (offered_cores < kPeakEndShare * history.max_offered_cores) {
+      history.in_peak = false;
+      history.last_peak_cores = history.max_offered_cores;
     }
   }
-  if (next_ && now - next_->begins > kPatience) {
-    next_.reset();
-    turns_.clear();
+  if (next_peak_ && now - next_peak_->begins_at > kMaxPeakDelay) {
+    next_peak_.reset();
+    recorded_peaks_.clear();
   }
 }
 
-void PeakForecast::BeginTurn(Time now, const PoolId& pool) {
-  turns_.push_back({pool, now});
-  if (turns_.size() > kMaxTurns)
-    turns_.pop_front();
-  Expect();
+void PeakForecast::RecordPeakStart(Time now, const PoolId& pool) {
+  recorded_peaks_.push_back({pool, now});
+  if (recorded_peaks_.size() > kMaxRecordedPeaks)
+    recorded_peaks_.pop_front();
+  PredictNextPeak();
 }
 
-std::optional<Duration> PeakForecast::Interval() const {
+std::optional<Duration> PeakForecast::PeakInterval() const {
   std::vector<Duration> intervals;
-  for (size_t i = turns_.size(); i-- > 1 && intervals.size() < kMaxIntervals;)
-    intervals.push_back(turns_[i].began - turns_[i - 1].began);
+  for (size_t i = recorded_peaks_.size();
+       i-- > 1 && intervals.size() < kMaxIntervals;)
+    intervals.push_back(recorded_peaks_[i].began_at -
+                        recorded_peaks_[i - 1].began_at);
   if (intervals.size() < kMinIntervals)
     return std::nullopt;
   std::sort(intervals.begin(), intervals.end());
   Duration median = intervals[intervals.size() / 2];
-  Duration tolerance =
-      std::max(kLooseInterval,
-               Duration(static_cast<int64_t>(
-                   kIntervalTolerance * static_cast<double>(median.count()))));
+  Duration tolerance = std::max(
+      kMinIntervalTolerance,
+      Duration(static_cast<int64_t>(kIntervalToleranceShare *
+                                    static_cast<double>(median.count()))));
   bool regular = median - intervals.front() <= tolerance &&
                  intervals.back() - median <= tolerance;
   return regular ? std::optional(median) : std::nullopt;
 }
 
 std::optional<PoolId> PeakForecast::NextPool() const {
-  const PoolId& latest = turns_.back().pool;
-  // The one that followed the latest pool before.
-  for (size_t i = turns_.size() - 1; i-- > 0;) {
-    if (turns_[i].pool == latest)
-      return turns_[i + 1].pool;
+  const PoolId& latest = recorded_peaks_.back().pool;
+  // Looks for the pool that followed an earlier peak of the same pool.
+  for (size_t i = recorded_peaks_.size() - 1; i-- > 0;) {
+    if (recorded_peaks_[i].pool == latest)
+      return recorded_peaks_[i + 1].pool;
   }
-  // Otherwise the round begins anew.
+  // Every recorded peak is of another pool: the rotation is assumed to start
+  // again with the first one.
   std::set<PoolId> seen;
-  for (const Turn& turn : turns_)
-    seen.insert(turn.pool);
-  bool whole_round = seen.size() >= kMinPools && seen.size() == turns_.size();
-  return whole_round ? std::optional(turns_.front().pool) : std::nullopt;
+  for (const Peak& peak : recorded_peaks_)
+    seen.insert(peak.pool);
+  bool whole_rotation = seen.size() >= kMinPoolsInRotation &&
+                        seen.size() == recorded_peaks_.size();
+  return whole_rotation ? std::optional(recorded_peaks_.front().pool)
+                        : std::nullopt;
 }
 
-void PeakForecast::Expect() {
-  next_.reset();
-  std::optional<Duration> interval = Interval();
+void PeakForecast::PredictNextPeak() {
+  next_peak_.reset();
+  std::optional<Duration> interval = PeakInterval();
   std::optional<PoolId> pool = NextPool();
   if (interval && pool)
-    next_ = Expectation{*pool, turns_.back().began + *interval};
+    next_peak_ =
+        ExpectedPeak{*pool, recorded_peaks_.back().began_at + *interval};
 }
 
 double PeakForecast::ExpectedCores(Time now,
                                    Duration lead,
                                    const PoolId& pool) const {
   auto history = pools_.find(pool);
-  if (!next_ || next_->pool != pool || history == pools_.end() ||
-      now + lead < next_->begins)
+  if (!next_peak_ || next_peak_->pool != pool || history == pools_.end() ||
+      now + lead < next_peak_->begins_at)
     return 0;
-  return kPreparedShare * history->second.last_height;
+  return kPreparedShare * history->second.last_peak_cores;
 }
 
 }  // namespace radishmoor
--- a/radishmoor/jobs/peak_forecast.h
+++ b/radishmoor/jobs/peak_forecast.h
@@ -1,16 +1,18 @@
-// Foresees which pool is in demand next when pools peak by turns.
+// Predicts which pool peaks next when pools peak in rotation.
 //
 //   PeakForecast forecast;
-//   forecast.Observe(now, pool, offered_cores);   // Each pool, some times a
-//                                                 // second.
-//   forecast.ExpectedCores(now, lead, pool);
+//   // For each pool, several times a second.
+//   forecast.Observe(now, pool, offered_cores, cores_per_host);
+//   double cores = forecast.ExpectedCores(now, lead, pool);
 //
-// Load that it answers: queues that peak one after the other, at regular
-// intervals and in the same order. A pool whose turn comes gets its hosts ahead
-// of the first jobs, since a host takes some seconds to come.
+// The forecast is meant for queues that peak one after the other, at regular
+// intervals and in the same order. It lets the fleet coordinator move hosts to
+// a pool before the first jobs of its peak arrive, because a move takes some
+// seconds.
 //
-// Nothing is foreseen before the pools have had a turn each at regular
-// intervals, and nothing any more once an expected turn has not come.
+// There is no prediction until every pool of the rotation has peaked and the
+// intervals between the peaks are regular. The forecast is discarded when a
+// predicted peak fails to appear.
 
 #ifndef RADISHMOOR_JOBS_PEAK_FORECAST_H_
 #define RADISHMOOR_JOBS_PEAK_FORECAST_H_
@@ -26,40 +28,45 @@
 
 class PeakForecast {
  public:
-  // `offered_cores`: what arriving work needs; `host_cores`: of a host.
+  // Records the load of a pool. `offered_cores` is the number of cores that the
+  // arriving work keeps busy; `cores_per_host` is the size of one of its hosts.
   void Observe(Time now,
                const PoolId& pool,
                double offered_cores,
-               double host_cores);
+               double cores_per_host);
 
-  // Cores that the pool is expected to need within `lead`; 0 if nothing is
-  // foreseen.
+  // Returns the number of cores that the pool is expected to need within
+  // `lead`, or 0 if no peak of the pool is predicted for that time.
   double ExpectedCores(Time now, Duration lead, const PoolId& pool) const;
 
  private:
-  struct Turn {
+  struct Peak {
     PoolId pool;
-    Time began;
+    Time began_at;
   };
   struct PoolHistory {
-    bool peaks = false;
-    double peak = 0;         // Largest of the turn under way.
-    double last_height = 0;  // Of the turn before.
+    bool in_peak = false;
+    double max_offered_cores = 0;  // Maximum of the current or latest peak.
+    // Maximum of the peak before. During a peak this follows
+    // `max_offered_cores` if that is larger.
+    double last_peak_cores = 0;
   };
-  struct Expectation {
+  struct ExpectedPeak {
     PoolId pool;
-    Time begins;
+    Time begins_at;
   };
 
-  void BeginTurn(Time now, const PoolId& pool);
-  void Expect();
-  // The usual interval between turns, if there is one.
-  std::optional<Duration> Interval() const;
+  void RecordPeakStart(Time now, const PoolId& pool);
+  void PredictNextPeak();
+  // Returns the median interval between the latest peaks if they are regular.
+  std::optional<Duration> PeakInterval() const;
+  // Returns the pool that follows the latest one in the rotation, if the
+  // recorded peaks show it.
   std::optional<PoolId> NextPool() const;
 
   std::map<PoolId, PoolHistory> pools_;
-  std::deque<Turn> turns_;
-  std::optional<Expectation> next_;
+  std::deque<Peak> recorded_peaks_;  // In the order of their start.
+  std::optional<ExpectedPeak> next_peak_;
 };
 
 }  // namespace radishmoor
--- a/radishmoor/jobs/testing/fleet_sizing_test.cc
+++ b/radishmoor/jobs/testing/fleet_sizing_test.cc
@@ -7,7 +7,7 @@
 namespace {
 
 const Time kStart = kTimeZero + Seconds(100);
-constexpr Duration kPeriod = Milliseconds(200);
+constexpr Duration kPlanPeriod = Milliseconds(200);
 
 PoolSizingInput Pool(const char* name, double demand, uint32_t hosts) {
   PoolSizingInput pool;
@@ -30,7 +30,7 @@
   return pool;
 }
 
-// Carries the moves out at once.
+// Carries out the moves without delay.
 void Apply(const std::vector<HostMoves>& moves,
            std::vector<PoolSizingInput>& pools) {
   for (const HostMoves& move : moves) {
@@ -47,99 +47,108 @@
   }
 }
 
-struct Played {
-  double host_seconds = 0;  // Paid ones.
-  double unserved = 0;      // Core-seconds asked for beyond what there was.
+struct SimulationResult {
+  double host_seconds = 0;  // Time of hosts in pools other than standby.
+  // Demand beyond the capacity of the pools.
+  double unserved_core_seconds = 0;
   uint32_t moves = 0;
 };
 
-// Four queues ask in turn for more than their pools hold, eight seconds each.
-Played PlayTurns(bool elastic) {
+// Simulates four pools that peak in rotation for 8.5 s each, with a demand
+// above the capacity of their hosts. Hosts move between pools only if
+// `hosts_move`.
+SimulationResult SimulatePeaks(bool hosts_move) {
   std::vector<PoolSizingInput> pools = {Pool("a", 5, 9), Pool("b", 5, 9),
                                         Pool("c", 5, 11), Pool("d", 5, 12),
                                         Standby(8)};
   PeakForecast forecast;
   FleetSizing sizing(false, forecast);
-  Played played;
-  int steps = static_cast<int>(Seconds(34) / kPeriod);
+  SimulationResult result;
+  int steps = static_cast<int>(Seconds(34) / kPlanPeriod);
   for (int step = 0; step < steps; ++step) {
-    Time now = kStart + kPeriod * step;
-    auto turn = static_cast<size_t>((now - kStart) / Milliseconds(8500));
+    Time now = kStart + kPlanPeriod * step;
+    auto peaking_pool =
+        static_cast<size_t>((now - kStart) / Milliseconds(8500));
     for (size_t i = 0; i < 4; ++i) {
-      pools[i].demand_cores = i == turn ? 220 : 5;
-      double room = pools[i].hosts * 16.0;
-      played.unserved +=
-          std::max(0.0, pools[i].demand_cores - room) * ToSeconds(kPeriod);
-      played.host_seconds += pools[i].hosts * ToSeconds(kPeriod);
+      pools[i].demand_cores = i == peaking_pool ? 220 : 5;
+      double capacity_cores = pools[i].hosts * 16.0;
+      result.unserved_core_seconds +=
+          std::max(0.0, pools[i].demand_cores - capacity_cores) *
+          ToSeconds(kPlanPeriod);
+      result.host_seconds += pools[i].hosts * ToSeconds(kPlanPeriod);
     }
-    if (!elastic)
+    if (!hosts_move)
       continue;
     std::vector<HostMoves> moves = sizing.Plan(now, pools, 8);
     for (const HostMoves& move : moves)
-      played.moves += move.count;
+      result.moves += move.count;
     Apply(moves, pools);
   }
-  return played;
+  return result;
 }
 
 // Guards against peaks that are not served while other pools are idle, and
-// against paying for idle hosts. The fixed fleet is the baseline.
-TEST_CASE("moving hosts serves turns with fewer paid hosts", "[sizing]") {
-  Played fixed = PlayTurns(false);
-  Played elastic = PlayTurns(true);
-  INFO("fixed: " << fixed.unserved << " core-s unserved, " << fixed.host_seconds
-                 << " host-s; moving: " << elastic.unserved << ", "
-                 << elastic.host_seconds << ", " << elastic.moves << " moves");
-  REQUIRE(elastic.unserved < fixed.unserved / 4);
-  // A move costs about as much as 1.2 s of a host in a pool.
-  REQUIRE(elastic.host_seconds + 1.2 * elastic.moves < fixed.host_seconds);
+// against costs of idle hosts. The baseline is a fleet whose hosts do not move.
+TEST_CASE("moving hosts serves peaks in rotation at a lower cost", "[sizing]") {
+  SimulationResult fixed = SimulatePeaks(false);
+  SimulationResult moving = SimulatePeaks(true);
+  INFO("fixed: " << fixed.unserved_core_seconds << " core-s unserved, "
+                 << fixed.host_seconds
+                 << " host-s; moving: " << moving.unserved_core_seconds << ", "
+                 << moving.host_seconds << ", " << moving.moves << " moves");
+  REQUIRE(moving.unserved_core_seconds < fixed.unserved_core_seconds / 4);
+  // A move costs about as much as a host in a pool costs in 1.2 s.
+  REQUIRE(moving.host_seconds + 1.2 * moving.moves < fixed.host_seconds);
 }
 
-// Guards against hosts that go to and fro.
-TEST_CASE("a short lull moves nothing", "[sizing]") {
+// Guards against hosts that leave a pool in a short lull of its demand and move
+// back after it.
+TEST_CASE("a pool keeps its hosts in a lull of 1.6 s", "[sizing]") {
   PeakForecast forecast;
   FleetSizing sizing(false, forecast);
   std::vector<PoolSizingInput> pools = {Pool("a", 120, 9), Standby(4)};
   Time now = kStart;
-  for (int i = 0; i < 10; ++i, now += kPeriod)
+  for (int i = 0; i < 10; ++i, now += kPlanPeriod)
     Apply(sizing.Plan(now, pools, 8), pools);
   uint32_t hosts = pools[0].hosts;
   pools[0].demand_cores = 20;
-  for (int i = 0; i < 8; ++i, now += kPeriod)
+  for (int i = 0; i < 8; ++i, now += kPlanPeriod)
     Apply(sizing.Plan(now, pools, 8), pools);
   REQUIRE(pools[0].hosts == hosts);
 }
 
-// Guards against a shortage that is met again and again while hosts are being
-// emptied for it: 2.5 times as many hosts as needed came to a pool.
-TEST_CASE("hosts that are being emptied for a pool count for it", "[sizing]") {
+// Guards against a shortage that is counted again in each plan while hosts are
+// still being emptied for it: a pool got 2.5 times as many hosts as it needed.
+TEST_CASE("hosts being emptied for a pool reduce its shortage", "[sizing]") {
   PeakForecast forecast;
   FleetSizing sizing(false, forecast);
   std::vector<PoolSizingInput> pools = {Pool("a", 400, 9), Standby(200)};
   uint32_t moved = 0;
   for (int i = 0; i < 10; ++i) {
-    for (const HostMoves& move : sizing.Plan(kStart + kPeriod * i, pools, 50))
+    for (const HostMoves& move :
+         sizing.Plan(kStart + kPlanPeriod * i, pools, 50))
       moved += move.count;
     pools[0].arriving_hosts = moved;
   }
-  // 400 cores at 80% use, and what the rise adds.
+  // Hosts of 16 cores that are used to 80% serve 400 cores with 32 hosts, 23
+  // more than the pool has. The expected rise of the demand may add some.
   REQUIRE(moved > 20);
   REQUIRE(moved <= 40);
 }
 
-// Guards against a pool that is taken for large while half of its servers
-// cannot be reached.
-TEST_CASE("silent servers are no capacity", "[sizing]") {
+// Guards against a pool that gets no hosts while half of its servers cannot be
+// reached, because these count as capacity.
+TEST_CASE("silent hosts do not count as capacity", "[sizing]") {
   PeakForecast forecast;
   FleetSizing sizing(false, forecast);
   std::vector<PoolSizingInput> pools = {Pool("a", 100, 8), Standby(20)};
   REQUIRE(sizing.Plan(kStart, pools, 8).empty());
   pools[0].silent_hosts = 4;
-  REQUIRE_FALSE(sizing.Plan(kStart + kPeriod, pools, 8).empty());
+  REQUIRE_FALSE(sizing.Plan(kStart + kPlanPeriod, pools, 8).empty());
 }
 
-// Guards against hosts that come only once tasks pile up.
-TEST_CASE("work that arrives is met before it piles up", "[sizing]") {
+// Guards against hosts that are moved only when ready tasks have accumulated.
+TEST_CASE("offered load moves hosts before the demand rises", "[sizing]") {
   PeakForecast forecast;
   FleetSizing sizing(false, forecast);
   std::vector<PoolSizingInput> pools = {Pool("a", 20, 4), Standby(200)};
@@ -150,30 +159,32 @@
   REQUIRE(moved >= 40);
 }
 
-// Guards against emptying pools before the first callers come, and against a
-// successor that waits in the same way while a pool is short of hosts.
-TEST_CASE("a new site keeps its pools until it is used", "[sizing]") {
+// Guards against pools that lose their hosts before the first callers come, and
+// against a successor that waits for them again while a pool is short of hosts.
+TEST_CASE("a new site moves no hosts until it is used", "[sizing]") {
   std::vector<PoolSizingInput> pools = {Pool("a", 0, 9), Pool("b", 10, 9)};
   PeakForecast forecast;
-  FleetSizing fresh(true, forecast);
-  FleetSizing successor(false, forecast);
+  FleetSizing new_site(true, forecast);
+  FleetSizing used_site(false, forecast);
   for (int i = 0; i < 20; ++i)
-    REQUIRE(fresh.Plan(kStart + kPeriod * i, pools, 8).empty());
+    REQUIRE(new_site.Plan(kStart + kPlanPeriod * i, pools, 8).empty());
   pools[1].demand_cores = 300;
-  REQUIRE_FALSE(fresh.Plan(kStart + Seconds(5), pools, 8).empty());
-  REQUIRE_FALSE(successor.Plan(kStart, pools, 8).empty());
+  REQUIRE_FALSE(new_site.Plan(kStart + Seconds(5), pools, 8).empty());
+  REQUIRE_FALSE(used_site.Plan(kStart, pools, 8).empty());
 }
 
-// Guards against taking hosts that long-running tasks need, or that cannot be
+// Guards against moves of hosts that long-running tasks need or that cannot be
 // emptied.
-TEST_CASE("a pool gives only what it can spare", "[sizing]") {
+TEST_CASE("a pool keeps its minimum and hosts that cannot be emptied",
+          "[sizing]") {
   PeakForecast forecast;
   FleetSizing sizing(false, forecast);
   std::vector<PoolSizingInput> pools = {Pool("a", 0, 9), Pool("b", 400, 9)};
   pools[0].min_hosts = 7;
   uint32_t given = 0;
   for (int i = 0; i < 30; ++i) {
-    std::vector<HostMoves> moves = sizing.Plan(kStart + kPeriod * i, pools, 8);
+    std::vector<HostMoves> moves =
+        sizing.Plan(kStart + kPlanPeriod * i, pools, 8);
     for (const HostMoves& move : moves)
       given += move.count;
     Apply(moves, pools);
@@ -184,14 +195,15 @@
   REQUIRE(sizing.Plan(kStart + Seconds(20), pools, 8).empty());
 }
 
-// Guards against decisions from figures of an owner that is not heard.
-TEST_CASE("pools with unknown demand are left alone", "[sizing]") {
+// Guards against decisions that are based on old figures of an owner whose
+// heartbeats no longer arrive.
+TEST_CASE("a pool without recent figures gives no hosts", "[sizing]") {
   PeakForecast forecast;
   FleetSizing sizing(false, forecast);
   std::vector<PoolSizingInput> pools = {Pool("a", 0, 9), Pool("b", 400, 9)};
   pools[0].figures_recent = false;
   for (int i = 0; i < 30; ++i)
-    REQUIRE(sizing.Plan(kStart + kPeriod * i, pools, 8).empty());
+    REQUIRE(sizing.Plan(kStart + kPlanPeriod * i, pools, 8).empty());
 }
 
 }  // namespace
--- a/radishmoor/jobs/testing/peak_forecast_test.cc
+++ b/radishmoor/jobs/testing/peak_forecast_test.cc
@@ -11,86 +11,98 @@
 namespace {
 
 const Time kStart = kTimeZero + Seconds(100);
-constexpr Duration kPeriod = Milliseconds(100);
-constexpr Duration kTurn = Milliseconds(4500);
+constexpr Duration kObservationPeriod = Milliseconds(100);
+constexpr Duration kPeakInterval = Milliseconds(4500);
 constexpr Duration kLead = Milliseconds(2500);
-constexpr double kHostCores = 16;
+constexpr double kCoresPerHost = 16;
 constexpr double kPeakCores = 400;
 
 const std::array<PoolId, 4> kPools = {PoolId("a"), PoolId("b"), PoolId("c"),
                                       PoolId("d")};
 
-// Observes one moment in which `peaking` is offered its peak.
-void ObserveTurn(PeakForecast& forecast, Time now, const PoolId& peaking) {
+// Observes all pools at `now`: `peaking_pool` is offered kPeakCores, the others
+// 10 cores each.
+void ObservePools(PeakForecast& forecast,
+                  Time now,
+                  const PoolId& peaking_pool) {
   for (const PoolId& pool : kPools)
-    forecast.Observe(now, pool, pool == peaking ? kPeakCores : 10, kHostCores);
+    forecast.Observe(now, pool, pool == peaking_pool ? kPeakCores : 10,
+                     kCoresPerHost);
 }
 
-// Guards against hosts that come only after a foreseeable peak has begun, and
-// against hosts that are brought for a pool whose turn is not next.
-TEST_CASE("the next of regular turns is foreseen", "[forecast]") {
+// Guards against hosts that arrive only after a predictable peak has begun, and
+// against hosts that are moved to a pool that does not peak next.
+TEST_CASE("regular peaks in rotation predict the next pool", "[forecast]") {
   PeakForecast forecast;
-  for (Time now = kStart; now < kStart + 9 * kTurn; now += kPeriod) {
-    auto turn = static_cast<size_t>((now - kStart) / kTurn);
-    ObserveTurn(forecast, now, kPools[turn % 4]);
-    Duration into = now - kStart - kTurn * static_cast<int64_t>(turn);
-    bool near_end = into > kTurn - kLead + kPeriod;
+  for (Time now = kStart; now < kStart + 9 * kPeakInterval;
+       now += kObservationPeriod) {
+    auto peak = static_cast<size_t>((now - kStart) / kPeakInterval);
+    ObservePools(forecast, now, kPools[peak % 4]);
+    Duration since_peak_start =
+        now - kStart - kPeakInterval * static_cast<int64_t>(peak);
+    bool within_lead =
+        since_peak_start > kPeakInterval - kLead + kObservationPeriod;
     for (size_t i = 0; i < 4; ++i) {
       double cores = forecast.ExpectedCores(now, kLead, kPools[i]);
-      bool next = i == (turn + 1) % 4;
-      INFO("turn " << turn << " pool " << i);
-      if (turn < 3 || !next)
+      bool is_next = i == (peak + 1) % 4;
+      INFO("peak " << peak << " pool " << i);
+      if (peak < 3 || !is_next)
         REQUIRE(cores == 0);
-      else if (near_end)
+      else if (within_lead)
         REQUIRE(cores > kPeakCores / 2);
     }
   }
 }
 
-// Guards against hosts that are held for a turn that does not come.
-TEST_CASE("nothing is foreseen after a turn has not come", "[forecast]") {
+// Guards against hosts that are kept for a predicted peak that does not appear.
+TEST_CASE("a predicted peak that fails to appear ends the forecast",
+          "[forecast]") {
   PeakForecast forecast;
   Time now = kStart;
-  for (; now < kStart + 4 * kTurn; now += kPeriod) {
-    auto turn = static_cast<size_t>((now - kStart) / kTurn);
-    ObserveTurn(forecast, now, kPools[turn % 4]);
+  for (; now < kStart + 4 * kPeakInterval; now += kObservationPeriod) {
+    auto peak = static_cast<size_t>((now - kStart) / kPeakInterval);
+    ObservePools(forecast, now, kPools[peak % 4]);
   }
   REQUIRE(forecast.ExpectedCores(now, kLead, kPools[0]) > 0);
-  for (; now < kStart + 4 * kTurn + Seconds(2); now += kPeriod)
-    ObserveTurn(forecast, now, PoolId("none"));
+  for (; now < kStart + 4 * kPeakInterval + Seconds(2);
+       now += kObservationPeriod)
+    ObservePools(forecast, now, PoolId("none"));
   for (const PoolId& pool : kPools)
     REQUIRE(forecast.ExpectedCores(now, kLead, pool) == 0);
 }
 
-// Guards against forecasts from peaks that come at random.
-TEST_CASE("irregular peaks are not foreseen", "[forecast]") {
+// Guards against forecasts from peaks of random pools at random intervals.
+TEST_CASE("irregular peaks are forecast in less than a tenth of observations",
+          "[forecast]") {
   PeakForecast forecast;
   Random random(7);
   Time now = kStart;
-  int foreseen = 0;
-  int moments = 0;
-  for (int turn = 0; turn < 40; ++turn) {
-    PoolId peaking = kPools[random.Below(4)];
+  int forecasts = 0;
+  int observations = 0;
+  for (int peak = 0; peak < 40; ++peak) {
+    PoolId peaking_pool = kPools[random.Below(4)];
     Time end = now + random.Between(Milliseconds(500), Milliseconds(9000));
-    for (; now < end; now += kPeriod) {
-      ObserveTurn(forecast, now, peaking);
-      ++moments;
+    for (; now < end; now += kObservationPeriod) {
+      ObservePools(forecast, now, peaking_pool);
+      ++observations;
       for (const PoolId& pool : kPools)
-        foreseen += forecast.ExpectedCores(now, kLead, pool) > 0 ? 1 : 0;
+        forecasts += forecast.ExpectedCores(now, kLead, pool) > 0 ? 1 : 0;
     }
   }
-  REQUIRE(foreseen * 10 < moments);
+  REQUIRE(forecasts * 10 < observations);
 }
 
-// Guards against a peak that is taken for a few jobs, or a few jobs for a peak.
-TEST_CASE("offered work shows a peak with its first jobs", "[forecast]") {
+// Guards against a peak that is taken for a few single jobs, and against a
+// single job that is taken for a peak.
+TEST_CASE("offered load shows a peak within 0.8 s and ignores a single job",
+          "[forecast]") {
   OfferedLoad load;
   Random random(3);
   Time now = kStart;
   load.Add(now, 40);
   REQUIRE(load.Cores(now) == 0);
   now += Seconds(10);
-  // 100 jobs a second of 10 core-seconds keep 1,000 cores busy.
+  // 100 jobs per second of 10 core-seconds each keep 1,000 cores busy.
   Time end = now + Milliseconds(800);
   for (; now < end; now += random.Exponential(Milliseconds(10)))
     load.Add(now, 10);
