--- a/radishmoor/jobs/fleet_coordinator.cc
+++ b/radishmoor/jobs/fleet_coordinator.cc
@@ -7,38 +7,47 @@
 namespace radishmoor {
 namespace {
 
-// Rows in one answer of the store.
-constexpr uint32_t kLoadPage = 500;
+constexpr uint32_t kScanPageRows = 500;
 constexpr Duration kTickPeriod = Milliseconds(100);
-constexpr Duration kVacateRepeat = Milliseconds(250);
-// A host that cannot be emptied in this time makes room for others.
-constexpr Duration kEmptyingLimit = Seconds(9);
-// Rows of calls that are over are kept longer than two holders of a host's
-// operations have to be apart, by the time of an answer.
-constexpr Duration kOldRowMargin = Seconds(2);
-constexpr Duration kSetAside = Seconds(3);
-// While a call is under way, so that a new owner learns of it as well.
+// Interval between two requests to empty a server. A failed scan of the stored
+// rows is also repeated after this time.
+constexpr Duration kVacateRequestPeriod = Milliseconds(250);
+// A host that cannot be emptied for maintenance within this time is postponed,
+// so that other hosts of the wave can be emptied instead.
+constexpr Duration kMaintenanceEmptyingLimit = Seconds(9);
+// The row of a finished call is kept for the minimum time between two owners of
+// a host's operations, plus this margin for the answer to the call.
+constexpr Duration kRowRemovalMargin = Seconds(2);
+constexpr Duration kPostponement = Seconds(3);
+// Interval between requests to keep a server empty while its host is being
+// called. Each goes to the current owner of the pool, so that a new owner
+// learns of the operation too.
 constexpr Duration kKeepEmptyPeriod = Milliseconds(200);
-// An owner's word that a server is empty is used for this long.
-constexpr Duration kEmptyValid = Milliseconds(500);
-constexpr Duration kCallRepeat = Milliseconds(400);
-constexpr Duration kThrottledRepeat = Milliseconds(150);
-constexpr Duration kBusyRepeat = Milliseconds(500);
-constexpr Duration kReportRepeat = Milliseconds(500);
-// A host that is not in the list for this long has left the fleet.
-constexpr Duration kGoneAfter = Seconds(4);
-// A host that cannot be emptied in this time stays in its pool.
-constexpr Duration kMovePatience = Milliseconds(2500);
+// A call relies on an owner's answer that the server is empty for this long.
+constexpr Duration kEmptyAnswerValidity = Milliseconds(500);
+constexpr Duration kUnansweredCallRetry = Milliseconds(400);
+constexpr Duration kThrottledCallRetry = Milliseconds(150);
+constexpr Duration kBusyHostRetry = Milliseconds(500);
+constexpr Duration kWaveReportRetry = Milliseconds(500);
+// A host that is missing from the platform's list for this long has left the
+// fleet.
+constexpr Duration kMissingHostTimeout = Seconds(4);
+// A host that cannot be emptied for a move within this time stays in its pool.
+constexpr Duration kMoveEmptyingLimit = Milliseconds(2500);
 constexpr Duration kSizingPeriod = Milliseconds(100);
-// Of the rate at which the platform takes calls; waves need the rest.
-constexpr double kMoveShare = 0.8;
-// Pools with a larger share of their cores in use are spared by waves that have
-// time. A round of maintenance takes about kRoundTime.
-constexpr double kBusyPool = 0.5;
-constexpr Duration kRoundTime = Milliseconds(3500);
-constexpr Duration kWaveMargin = Seconds(9);
-// Hosts that are emptied ahead of their turn, beyond those that may be down.
-constexpr uint32_t kEmptiedAhead = 1;
+// Share of the platform's call rate that moves may use. Waves need the rest.
+constexpr double kMoveRateShare = 0.8;
+// A wave that can wait does not maintain hosts of pools with at least this
+// ratio of demand to capacity.
+constexpr double kBusyPoolShare = 0.5;
+// Time to maintain as many hosts as a wave may have down at once.
+constexpr Duration kMaintenanceRoundTime = Milliseconds(3500);
+// A wave no longer waits for busy pools when less than this is left of its time
+// beyond what the maintenance of its remaining hosts takes.
+constexpr Duration kWaveTimeMargin = Seconds(9);
+// Hosts of a wave that may be emptied in advance, in addition to the hosts that
+// may be down at once.
+constexpr uint32_t kHostsEmptiedAhead = 1;
 
 }  // namespace
 
@@ -52,61 +61,62 @@
       sizing_(options.first_owner, forecast) {
   state_.token = options.token;
   chain_.set_renewed(options.lease_taken);
-  SendLoad(outbox);
+  SendRowScan(outbox);
 }
 
-void FleetCoordinator::SendLoad(Outbox& outbox) {
+void FleetCoordinator::SendRowScan(Outbox& outbox) {
   ScanRows scan;
   scan.prefix = HostOperationKey(state_.pool, HostId());
-  scan.after = load_after_;
-  scan.limit = kLoadPage;
-  load_tag_ = outbox.CallStore(std::move(scan));
+  scan.after = scan_after_;
+  scan.limit = kScanPageRows;
+  scan_tag_ = outbox.CallStore(std::move(scan));
 }
 
-void FleetCoordinator::OnLoadRow(const Row& row) {
+void FleetCoordinator::OnStoredRow(const Row& row) {
   std::optional<HostOperationRow> stored = DecodeHostOperation(row.value);
   if (!stored) {
     ++state_.counters.unreadable_rows;
     return;
   }
   if (stored->kind == HostOperationKind::kMaintained) {
-    stored_done_[stored->host].insert(stored->wave);
+    maintained_waves_[stored->host].insert(stored->wave);
     return;
   }
-  // What an earlier coordinator intended is decided anew: its server may be in
-  // use again. If its call was carried out, a repeated one has no effect.
-  called_before_.insert(stored->host);
-  RetireRow(options_.lease_taken, stored->host);
+  // The stored operation is not resumed, because its server may be in use
+  // again. If its call was carried out, a repeated call has no effect.
+  hosts_called_earlier_.insert(stored->host);
+  RemoveRowLater(options_.lease_taken, stored->host);
 }
 
-bool FleetCoordinator::MayCallFor(Time now, const HostId& host) const {
+bool FleetCoordinator::NoRecentEarlierCall(Time now, const HostId& host) const {
   return now - options_.lease_taken > options_.bounds.host_operation_lease ||
-         !called_before_.contains(host);
+         !hosts_called_earlier_.contains(host);
 }
 
-void FleetCoordinator::RemoveOldRows(Time now) {
-  Duration kept = options_.bounds.host_operation_lease + kOldRowMargin;
-  while (!old_rows_.empty() && now - old_rows_.front().first > kept) {
-    const HostId& host = old_rows_.front().second;
+void FleetCoordinator::RemoveDueRows(Time now) {
+  Duration kept = options_.bounds.host_operation_lease + kRowRemovalMargin;
+  while (!rows_to_remove_.empty() &&
+         now - rows_to_remove_.front().first > kept) {
+    const HostId& host = rows_to_remove_.front().second;
     auto operation = host_operations_.find(host);
     bool in_use = operation != host_operations_.end() &&
                   operation->second.stage != Stage::kEmptying;
     if (!in_use)
       RemoveRow(host);
-    old_rows_.pop_front();
+    rows_to_remove_.pop_front();
   }
 }
 
 void FleetCoordinator::OnWaves(std::span<const ObservedWave> waves,
                                Outbox& outbox) {
-  for (const ObservedWave& known : waves) {
-    const MaintenanceWave& plan = known.plan;
+  for (const ObservedWave& observed : waves) {
+    const MaintenanceWave& plan = observed.plan;
     auto [it, inserted] = waves_.try_emplace(plan.number);
     Wave& wave = it->second;
     wave.plan = plan;
     if (!inserted)
       continue;
-    wave.first_seen_at = known.first_seen_at;
+    wave.first_seen_at = observed.first_seen_at;
     outbox.LogDecision("wave-seen",
                        {{"wave", static_cast<int64_t>(plan.number)},
                         {"hosts", static_cast<int64_t>(plan.hosts.size())},
@@ -125,14 +135,14 @@
                      [](const auto& entry) { return !entry.second.completed; });
 }
 
-uint32_t FleetCoordinator::DownCount(uint64_t wave) const {
+uint32_t FleetCoordinator::CountHostsDown(uint64_t wave) const {
   uint32_t down = 0;
   for (const auto& [host, operation] : host_operations_) {
     if (operation.kind == HostOperationKind::kMaintain &&
         operation.wave == wave && operation.stage != Stage::kEmptying)
       ++down;
   }
-  // A call of an earlier coordinator may have put others down.
+  // Counts hosts whose maintenance an earlier coordinator may have started.
   for (const auto& [host, listing] : hosts_) {
     if (listing.state == ListedHostState::kMaintenance &&
         !host_operations_.contains(host))
@@ -150,23 +160,23 @@
         continue;
       it->second.stage = Stage::kCalling;
       it->second.stage_since = now;
-      it->second.next_try = now;
+      it->second.next_try_at = now;
     }
     return true;
   }
-  if (load_tag_ != 0 && answer.tag == load_tag_) {
-    load_tag_ = 0;
+  if (scan_tag_ != 0 && answer.tag == scan_tag_) {
+    scan_tag_ = 0;
     const auto* rows = std::get_if<RowsReply>(&answer.reply);
     if (rows == nullptr) {
-      load_retry_ = now + kVacateRepeat;
+      next_scan_at_ = now + kVacateRequestPeriod;
       return true;
     }
     for (const Row& row : rows->rows)
-      OnLoadRow(row);
-    loaded_ = !rows->more || rows->rows.empty();
-    if (!loaded_) {
-      load_after_ = rows->rows.back().key;
-      load_retry_ = now;
+      OnStoredRow(row);
+    rows_loaded_ = !rows->more || rows->rows.empty();
+    if (!rows_loaded_) {
+      scan_after_ = rows->rows.back().key;
+      next_scan_at_ = now;
     }
     return true;
   }
@@ -175,7 +185,7 @@
       continue;
     wave.report_tag = 0;
     if (!std::holds_alternative<CommittedReply>(answer.reply)) {
-      wave.next_report = now + kReportRepeat;
+      wave.next_report_at = now + kWaveReportRetry;
       return true;
     }
     if (wave.completed)
@@ -194,14 +204,14 @@
       continue;
     operation.call_tag = 0;
     HostId id = host;
-    OnCallReply(now, id, operation, reply.outcome, out);
+    OnHostCallReply(now, id, operation, reply.outcome, out);
     return true;
   }
   return false;
 }
 
 bool FleetCoordinator::wants_hosts() const {
-  return loaded_;
+  return rows_loaded_;
 }
 
 void FleetCoordinator::OnHosts(Time sent,
@@ -225,7 +235,8 @@
     auto it = hosts_.find(id);
     if (operation.stage != Stage::kReturning || it == hosts_.end())
       continue;
-    // The list shows the maintenance from the answer to the call on.
+    // A list requested after the call was answered shows the host as away until
+    // the maintenance or move is over.
     bool away = it->second.state == ListedHostState::kMaintenance ||
                 it->second.state == ListedHostState::kMoving;
     if (sent > operation.stage_since && !away)
@@ -237,17 +248,17 @@
   }
 }
 
-void FleetCoordinator::OnCallReply(Time now,
-                                   const HostId& host,
-                                   HostOperation& operation,
-                                   HostOutcome outcome,
-                                   Outbox& outbox) {
+void FleetCoordinator::OnHostCallReply(Time now,
+                                       const HostId& host,
+                                       HostOperation& operation,
+                                       HostOutcome outcome,
+                                       Outbox& outbox) {
   outbox.LogDecision(
       "host-call",
       {{"host", host.str()},
        {"wave", static_cast<int64_t>(operation.wave)},
        {"outcome", static_cast<int64_t>(outcome)},
-       {"emptied_ms", WholeMilliseconds(now - operation.started)}});
+       {"emptied_ms", WholeMilliseconds(now - operation.started_at)}});
   switch (outcome) {
     case HostOutcome::kDone:
       if (operation.kind == HostOperationKind::kMaintain) {
@@ -256,17 +267,18 @@
       }
       operation.stage = Stage::kReturning;
       operation.stage_since = now;
-      RetireRow(now, host);
+      RemoveRowLater(now, host);
       return;
     case HostOutcome::kFenced:
       fenced_ = true;
       return;
     case HostOutcome::kBusy:
-      operation.next_try = now + kBusyRepeat;
+      operation.next_try_at = now + kBusyHostRetry;
       if (operation.kind == HostOperationKind::kMaintain)
         return;
-      // The host is not up: the move is not worth waiting for.
-      RetireRow(now, host);
+      // The host is not up, and waiting for it is not worthwhile: the move is
+      // dropped.
+      RemoveRowLater(now, host);
       host_operations_.erase(host);
       return;
     case HostOutcome::kWrongWave:
@@ -274,18 +286,19 @@
       auto wave = waves_.find(operation.wave);
       if (operation.kind == HostOperationKind::kMaintain &&
           wave != waves_.end())
-        wave->second.done.insert(host);
-      RetireRow(now, host);
+        wave->second.done_hosts.insert(host);
+      RemoveRowLater(now, host);
       host_operations_.erase(host);
       return;
     }
     case HostOutcome::kThrottled:
-      // Nothing was done: the server must still be empty at the next call.
-      operation.called = false;
-      operation.next_try = now + kThrottledRepeat;
+      // The platform did nothing, so the next call needs a current answer that
+      // the server is empty.
+      operation.call_may_be_executed = false;
+      operation.next_try_at = now + kThrottledCallRetry;
       return;
     case HostOutcome::kUnanswered:
-      operation.next_try = now + kCallRepeat;
+      operation.next_try_at = now + kUnansweredCallRetry;
       return;
   }
 }
@@ -298,13 +311,13 @@
   operation.stage_since = now;
   HostOperationRow row{host, HostOperationKind::kMaintained, operation.pool,
                        operation.wave, operation.server};
-  RetireRow(now, host);
+  RemoveRowLater(now, host);
   chain_.Write({MaintainedKey(state_.pool, host, operation.wave),
                 EncodeHostOperation(row)});
   auto it = waves_.find(operation.wave);
   if (it == waves_.end())
     return;
-  it->second.done.insert(host);
+  it->second.done_hosts.insert(host);
   CheckCompleted(now, it->second, outbox);
 }
 
@@ -312,14 +325,15 @@
   if (wave.completed)
     return;
   for (const HostId& host : wave.plan.hosts) {
-    if (wave.done.contains(host))
+    if (wave.done_hosts.contains(host))
       continue;
-    auto missing = wave.missing.find(host);
-    if (missing == wave.missing.end() || now - missing->second < kGoneAfter)
+    auto missing = wave.missing_since.find(host);
+    if (missing == wave.missing_since.end() ||
+        now - missing->second < kMissingHostTimeout)
       return;
   }
   wave.completed = true;
-  wave.next_report = now;
+  wave.next_report_at = now;
   outbox.LogDecision(
       "wave-completed",
       {{"wave", static_cast<int64_t>(wave.plan.number)},
@@ -328,24 +342,24 @@
 
 void FleetCoordinator::OnVacateAnswer(Time now, const VacateAnswer& answer) {
   for (auto& [host, operation] : host_operations_) {
-    bool waits =
+    bool awaits_answer =
         operation.stage != Stage::kReturning && operation.call_tag == 0;
-    if (operation.server != answer.server || !waits)
+    if (operation.server != answer.server || !awaits_answer)
       continue;
     if (answer.state != VacateState::kEmpty) {
-      // A new owner of the pool may have used the server again.
-      operation.empty_token = 0;
+      // A new owner of the pool may have started tasks on the server.
+      operation.reported_empty_by = 0;
       return;
     }
-    operation.empty_token = answer.token;
-    operation.empty_at = now;
-    if (operation.stage == Stage::kEmptying && MayCall(operation))
+    operation.reported_empty_by = answer.token;
+    operation.reported_empty_at = now;
+    if (operation.stage == Stage::kEmptying && WaveAllowsCall(operation))
       StoreHostOperation(now, host, operation);
     return;
   }
 }
 
-bool FleetCoordinator::IsEmpty(
+bool FleetCoordinator::IsServerEmpty(
     Time now,
     const HostOperation& operation,
     const std::map<PoolId, PoolOwnerContact>& contacts) const {
@@ -353,8 +367,8 @@
     return true;
   auto contact = contacts.find(operation.pool);
   return contact != contacts.end() &&
-         contact->second.heartbeat.token == operation.empty_token &&
-         now - operation.empty_at < kEmptyValid;
+         contact->second.heartbeat.token == operation.reported_empty_by &&
+         now - operation.reported_empty_at < kEmptyAnswerValidity;
 }
 
 void FleetCoordinator::StoreHostOperation(Time now,
@@ -362,19 +376,20 @@
                                           HostOperation& operation) {
   operation.stage = Stage::kStoring;
   operation.stage_since = now;
-  PoolId pool = operation.kind == HostOperationKind::kMove ? operation.target
-                                                           : operation.pool;
+  PoolId pool = operation.kind == HostOperationKind::kMove
+                    ? operation.target_pool
+                    : operation.pool;
   HostOperationRow row{host, operation.kind, pool, operation.wave,
                        operation.server};
   chain_.Write({HostOperationKey(state_.pool, host), EncodeHostOperation(row)});
 }
 
-bool FleetCoordinator::MayCall(const HostOperation& operation) const {
+bool FleetCoordinator::WaveAllowsCall(const HostOperation& operation) const {
   if (operation.kind != HostOperationKind::kMaintain)
     return true;
   auto wave = waves_.find(operation.wave);
   return wave != waves_.end() &&
-         DownCount(operation.wave) <
+         CountHostsDown(operation.wave) <
              std::max(1u, wave->second.plan.max_at_once);
 }
 
@@ -383,62 +398,62 @@
     bool due = wave.completed ? !wave.reported_end : !wave.reported_start;
     if (!due || wave.report_tag != 0)
       continue;
-    if (now < wave.next_report) {
-      Wake(wave.next_report);
+    if (now < wave.next_report_at) {
+      Wake(wave.next_report_at);
       continue;
     }
     wave.report_tag = outbox.SendWaveReport(number, wave.completed);
   }
 }
 
-void FleetCoordinator::StartHostOperations(
+void FleetCoordinator::StartMaintenance(
     Time now,
     const std::map<PoolId, PoolOwnerContact>& contacts,
     Outbox& outbox) {
   for (auto& [number, wave] : waves_) {
     if (wave.completed)
       continue;
-    uint32_t open = 0;
+    uint32_t open_operations = 0;
     for (const auto& [host, operation] : host_operations_) {
       if (operation.kind == HostOperationKind::kMaintain &&
           operation.wave == number)
-        ++open;
+        ++open_operations;
     }
-    using Choice = std::tuple<double, HostId>;
-    std::vector<Choice> choices;
+    using Candidate = std::tuple<double, HostId>;
+    std::vector<Candidate> candidates;
     for (const HostId& host : wave.plan.hosts) {
-      auto stored = stored_done_.find(host);
-      if (stored != stored_done_.end() && stored->second.contains(number))
-        wave.done.insert(host);
+      auto stored = maintained_waves_.find(host);
+      if (stored != maintained_waves_.end() && stored->second.contains(number))
+        wave.done_hosts.insert(host);
       auto listing = hosts_.find(host);
       if (listing == hosts_.end()) {
-        wave.missing.try_emplace(host, now);
+        wave.missing_since.try_emplace(host, now);
         continue;
       }
-      wave.missing.erase(host);
-      auto aside = wave.set_aside.find(host);
-      if (wave.done.contains(host) || host_operations_.contains(host) ||
-          !MayCallFor(now, host) ||
+      wave.missing_since.erase(host);
+      auto postponed = wave.postponed_until.find(host);
+      if (wave.done_hosts.contains(host) || host_operations_.contains(host) ||
+          !NoRecentEarlierCall(now, host) ||
           listing->second.state != ListedHostState::kUp ||
-          (aside != wave.set_aside.end() && now < aside->second))
+          (postponed != wave.postponed_until.end() && now < postponed->second))
         continue;
       auto contact = contacts.find(listing->second.pool);
       bool standby = IsStandby(listing->second.pool);
       if (!standby && contact == contacts.end())
         continue;
       double share = standby ? -1.0 : contact->second.demand_share();
-      if (share < kBusyPool || !HasTime(now, wave))
-        choices.emplace_back(share, host);
+      if (share < kBusyPoolShare || !CanWait(now, wave))
+        candidates.emplace_back(share, host);
     }
     CheckCompleted(now, wave, outbox);
-    std::sort(choices.begin(), choices.end());
-    uint32_t limit = std::max(1u, wave.plan.max_at_once) + kEmptiedAhead;
-    for (const auto& [share, host] : choices) {
-      if (open >= limit)
+    std::sort(candidates.begin(), candidates.end());
+    uint32_t limit = std::max(1u, wave.plan.max_at_once) + kHostsEmptiedAhead;
+    for (const auto& [share, host] : candidates) {
+      if (open_operations >= limit)
         break;
       HostOperation& operation = AddHostOperation(now, host);
       operation.wave = number;
-      ++open;
+      ++open_operations;
       outbox.LogDecision("host-chosen", {{"host", host.str()},
                                          {"wave", static_cast<int64_t>(number)},
                                          {"pool", operation.pool.str()},
@@ -456,18 +471,19 @@
   operation = HostOperation{};
   operation.pool = listing.pool;
   operation.server = listing.server;
-  operation.stage_since = operation.started = operation.next_try = now;
+  operation.stage_since = operation.started_at = operation.next_try_at = now;
   return operation;
 }
 
-bool FleetCoordinator::HasTime(Time now, const Wave& wave) const {
-  size_t left = wave.plan.hosts.size() - wave.done.size();
+bool FleetCoordinator::CanWait(Time now, const Wave& wave) const {
+  size_t left = wave.plan.hosts.size() - wave.done_hosts.size();
   size_t rounds = left / std::max(1u, wave.plan.max_at_once) + 1;
-  Duration needed = kRoundTime * static_cast<int64_t>(rounds) + kWaveMargin;
+  Duration needed =
+      kMaintenanceRoundTime * static_cast<int64_t>(rounds) + kWaveTimeMargin;
   return now + needed < wave.first_seen_at + wave.plan.length;
 }
 
-std::vector<PoolSizingInput> FleetCoordinator::Sizes(
+std::vector<PoolSizingInput> FleetCoordinator::MakeSizingInputs(
     Time now,
     const std::map<PoolId, PoolOwnerContact>& contacts) const {
   std::vector<PoolSizingInput> sizes;
@@ -479,18 +495,19 @@
     size.figures_recent = contact != contacts.end();
     for (const auto& [id, host] : hosts_) {
       auto operation = host_operations_.find(id);
-      bool moves = operation != host_operations_.end() &&
-                   operation->second.kind == HostOperationKind::kMove;
-      const PoolId& pool = moves && operation->second.stage != Stage::kEmptying
-                               ? operation->second.target
-                               : host.pool;
+      bool is_move = operation != host_operations_.end() &&
+                     operation->second.kind == HostOperationKind::kMove;
+      const PoolId& pool =
+          is_move && operation->second.stage != Stage::kEmptying
+              ? operation->second.target_pool
+              : host.pool;
       if (pool != config.id || host.state == ListedHostState::kDown)
         continue;
       ++size.hosts;
       size.cores_per_host =
           static_cast<double>(host.capacity.cpu_millis) / 1000;
       size.leaving_hosts +=
-          moves && operation->second.stage == Stage::kEmptying ? 1 : 0;
+          is_move && operation->second.stage == Stage::kEmptying ? 1 : 0;
     }
     if (size.figures_recent) {
       size.demand_cores = contact->second.heartbeat.demand_cores;
@@ -499,8 +516,8 @@
       size.min_hosts = contact->second.heartbeat.min_servers;
     }
     size.spare_hosts = static_cast<uint32_t>(
-        Movable(now, config.id, UINT32_MAX, {}, contacts).size());
-    uint32_t emptying = EmptyingFor(config.id);
+        FindMovableHosts(now, config.id, UINT32_MAX, {}, contacts).size());
+    uint32_t emptying = CountHostsEmptyingFor(config.id);
     if (config.standby)
       size.spare_hosts += emptying;
     else
@@ -510,7 +527,7 @@
   return sizes;
 }
 
-std::vector<HostId> FleetCoordinator::Movable(
+std::vector<HostId> FleetCoordinator::FindMovableHosts(
     Time now,
     const PoolId& pool,
     uint32_t count,
@@ -521,7 +538,8 @@
     bool avoided =
         std::find(avoid.begin(), avoid.end(), host.zone) != avoid.end();
     return host.state == ListedHostState::kUp &&
-           !host_operations_.contains(id) && !avoided && MayCallFor(now, id);
+           !host_operations_.contains(id) && !avoided &&
+           NoRecentEarlierCall(now, id);
   };
   if (IsStandby(pool)) {
     for (const auto& [id, host] : hosts_) {
@@ -547,14 +565,14 @@
     Time now,
     const std::map<PoolId, PoolOwnerContact>& contacts,
     Outbox& outbox) {
-  if (now < next_sizing_) {
-    Wake(next_sizing_);
+  if (now < next_sizing_at_) {
+    Wake(next_sizing_at_);
     return;
   }
-  next_sizing_ = now + kSizingPeriod;
-  std::vector<PoolSizingInput> sizes = Sizes(now, contacts);
+  next_sizing_at_ = now + kSizingPeriod;
+  std::vector<PoolSizingInput> sizes = MakeSizingInputs(now, contacts);
   auto limit = static_cast<uint32_t>(
-      kMoveShare * options_.bounds.max_host_operations_per_second *
+      kMoveRateShare * options_.bounds.max_host_operations_per_second *
       ToSeconds(kSizingPeriod));
   for (const HostMoves& moves : sizing_.Plan(now, sizes, limit))
     StartMove(now, moves, contacts, outbox);
@@ -565,24 +583,24 @@
     const HostMoves& moves,
     const std::map<PoolId, PoolOwnerContact>& contacts,
     Outbox& outbox) {
-  // The owner of the pool would not reach servers in these zones.
+  // The owner of the target pool does not reach servers in these zones.
   std::vector<ZoneId> avoid;
   auto target = contacts.find(moves.to);
   if (target != contacts.end())
     avoid = target->second.heartbeat.silent_zones;
   std::vector<HostId> movable =
-      Movable(now, moves.from, moves.count, avoid, contacts);
+      FindMovableHosts(now, moves.from, moves.count, avoid, contacts);
   for (const HostId& host : movable) {
     HostOperation& operation = AddHostOperation(now, host);
     operation.kind = HostOperationKind::kMove;
-    operation.target = moves.to;
+    operation.target_pool = moves.to;
     outbox.LogDecision("host-move", {{"host", host.str()},
                                      {"from", moves.from.str()},
                                      {"to", moves.to.str()}});
   }
-  auto begun = static_cast<uint32_t>(movable.size());
-  if (begun < moves.count && IsStandby(moves.from))
-    RedirectMoves(now, moves.to, moves.count - begun, contacts, outbox);
+  auto started = static_cast<uint32_t>(movable.size());
+  if (started < moves.count && IsStandby(moves.from))
+    RedirectMoves(now, moves.to, moves.count - started, contacts, outbox);
 }
 
 void FleetCoordinator::RedirectMoves(
@@ -591,34 +609,36 @@
     uint32_t count,
     const std::map<PoolId, PoolOwnerContact>& contacts,
     Outbox& outbox) {
-  std::vector<HostId> staying;
+  std::vector<HostId> staying_hosts;
   for (auto& [host, operation] : host_operations_) {
     if (count == 0)
       break;
     if (operation.kind != HostOperationKind::kMove ||
-        operation.stage != Stage::kEmptying || !IsStandby(operation.target))
+        operation.stage != Stage::kEmptying ||
+        !IsStandby(operation.target_pool))
       continue;
     --count;
     outbox.LogDecision("host-move-redirected", {{"host", host.str()},
                                                 {"from", operation.pool.str()},
                                                 {"to", to.str()}});
     if (operation.pool == to)
-      staying.push_back(host);
+      staying_hosts.push_back(host);
     else
-      operation.target = to;
+      operation.target_pool = to;
   }
-  for (const HostId& host : staying)
-    GiveUp(now, host, host_operations_.at(host), contacts, outbox);
+  for (const HostId& host : staying_hosts)
+    Abandon(now, host, host_operations_.at(host), contacts, outbox);
 }
 
-uint32_t FleetCoordinator::EmptyingFor(const PoolId& pool) const {
-  return static_cast<uint32_t>(std::count_if(
-      host_operations_.begin(), host_operations_.end(),
-      [&pool](const auto& entry) {
-        const HostOperation& operation = entry.second;
-        return operation.kind == HostOperationKind::kMove &&
-               operation.stage == Stage::kEmptying && operation.target == pool;
-      }));
+uint32_t FleetCoordinator::CountHostsEmptyingFor(const PoolId& pool) const {
+  return static_cast<uint32_t>(
+      std::count_if(host_operations_.begin(), host_operations_.end(),
+                    [&pool](const auto& entry) {
+                      const HostOperation& operation = entry.second;
+                      return operation.kind == HostOperationKind::kMove &&
+                             operation.stage == Stage::kEmptying &&
+                             operation.target_pool == pool;
+                    }));
 }
 
 void FleetCoordinator::AdvanceHostOperation(
@@ -627,38 +647,39 @@
     HostOperation& operation,
     const std::map<PoolId, PoolOwnerContact>& contacts,
     Outbox& outbox) {
-  if (now < operation.next_try) {
-    Wake(operation.next_try);
+  if (now < operation.next_try_at) {
+    Wake(operation.next_try_at);
     return;
   }
   if (operation.stage == Stage::kCalling && operation.call_tag == 0) {
     auto listing = hosts_.find(host);
     if (listing != hosts_.end() &&
         listing->second.state == ListedHostState::kDown) {
-      // The platform would refuse the call; one that was lost was carried out
-      // before the host went down, or never is.
-      operation.next_try = now + kBusyRepeat;
+      // The platform would refuse the call. An earlier call without an answer
+      // was either carried out before the host went down or never will be.
+      operation.next_try_at = now + kBusyHostRetry;
       return;
     }
-    if (!operation.called && !IsEmpty(now, operation, contacts)) {
-      operation.next_try = now + kTickPeriod;
+    if (!operation.call_may_be_executed &&
+        !IsServerEmpty(now, operation, contacts)) {
+      operation.next_try_at = now + kTickPeriod;
       return;
     }
-    operation.called = true;
-    operation.next_try = now + kCallRepeat;
+    operation.call_may_be_executed = true;
+    operation.next_try_at = now + kUnansweredCallRetry;
     if (operation.kind == HostOperationKind::kMaintain)
       operation.call_tag =
           outbox.CallHostApi(state_.token, MaintainHost{host, operation.wave});
     else
-      operation.call_tag =
-          outbox.CallHostApi(state_.token, MoveHost{host, operation.target});
+      operation.call_tag = outbox.CallHostApi(
+          state_.token, MoveHost{host, operation.target_pool});
     return;
   }
   if (operation.stage != Stage::kEmptying)
     return;
-  operation.next_try = now + kVacateRepeat;
+  operation.next_try_at = now + kVacateRequestPeriod;
   if (IsStandby(operation.pool)) {
-    if (MayCall(operation))
+    if (WaveAllowsCall(operation))
       StoreHostOperation(now, host, operation);
     return;
   }
@@ -678,25 +699,26 @@
   return true;
 }
 
-void FleetCoordinator::KeepEmpty(
+void FleetCoordinator::RepeatVacateRequest(
     Time now,
     HostOperation& operation,
     const std::map<PoolId, PoolOwnerContact>& contacts,
     Outbox& outbox) {
-  if (now >= operation.next_request &&
+  if (now >= operation.next_vacate_request_at &&
       RequestVacate(operation, false, contacts, outbox))
-    operation.next_request = now + kKeepEmptyPeriod;
+    operation.next_vacate_request_at = now + kKeepEmptyPeriod;
 }
 
-bool FleetCoordinator::MustGiveUp(
+bool FleetCoordinator::ShouldAbandon(
     Time now,
     const HostId& host,
     const HostOperation& operation,
     const std::map<PoolId, PoolOwnerContact>& contacts) const {
   if (operation.stage != Stage::kEmptying)
     return false;
-  bool moves = operation.kind == HostOperationKind::kMove;
-  if (now - operation.started > (moves ? kMovePatience : kEmptyingLimit))
+  bool is_move = operation.kind == HostOperationKind::kMove;
+  if (now - operation.started_at >
+      (is_move ? kMoveEmptyingLimit : kMaintenanceEmptyingLimit))
     return true;
   auto listing = hosts_.find(host);
   if (listing == hosts_.end() ||
@@ -705,13 +727,13 @@
     return true;
   auto owner = contacts.find(operation.pool);
   auto wave = waves_.find(operation.wave);
-  // The pool got busy, and the wave can wait.
-  return !moves && wave != waves_.end() && owner != contacts.end() &&
-         owner->second.demand_share() >= kBusyPool &&
-         HasTime(now, wave->second);
+  // Maintenance is postponed if the pool has become busy and the wave can wait.
+  return !is_move && wave != waves_.end() && owner != contacts.end() &&
+         owner->second.demand_share() >= kBusyPoolShare &&
+         CanWait(now, wave->second);
 }
 
-void FleetCoordinator::GiveUp(
+void FleetCoordinator::Abandon(
     Time now,
     const HostId& host,
     const HostOperation& operation,
@@ -720,7 +742,7 @@
   RequestVacate(operation, true, contacts, outbox);
   auto wave = waves_.find(operation.wave);
   if (operation.kind == HostOperationKind::kMaintain && wave != waves_.end())
-    wave->second.set_aside[host] = now + kSetAside;
+    wave->second.postponed_until[host] = now + kPostponement;
   host_operations_.erase(host);
 }
 
@@ -730,32 +752,32 @@
   next_wake_ = now + kTickPeriod;
   chain_.Tick(now, outbox);
   Wake(chain_.next_wake());
-  if (!loaded_ && load_tag_ == 0 && now >= load_retry_) {
-    load_retry_ = kTimeMax;
-    SendLoad(outbox);
+  if (!rows_loaded_ && scan_tag_ == 0 && now >= next_scan_at_) {
+    next_scan_at_ = kTimeMax;
+    SendRowScan(outbox);
   }
-  if (!loaded_ || lost() || released())
+  if (!rows_loaded_ || lost() || released())
     return;
   ReportWaves(now, outbox);
-  RemoveOldRows(now);
+  RemoveDueRows(now);
   bool lease_fresh =
       now - chain_.renewed() < options_.bounds.host_operation_lease / 2;
   if (!lease_fresh || hosts_.empty())
     return;
-  StartHostOperations(now, contacts, outbox);
+  StartMaintenance(now, contacts, outbox);
   StartMoves(now, contacts, outbox);
   std::vector<HostId> ids;
   for (const auto& [host, operation] : host_operations_)
     ids.push_back(host);
   for (const HostId& host : ids) {
     HostOperation& operation = host_operations_.at(host);
-    if (MustGiveUp(now, host, operation, contacts)) {
-      GiveUp(now, host, operation, contacts, outbox);
+    if (ShouldAbandon(now, host, operation, contacts)) {
+      Abandon(now, host, operation, contacts, outbox);
       continue;
     }
     if (operation.stage != Stage::kEmptying &&
         operation.stage != Stage::kReturning)
-      KeepEmpty(now, operation, contacts, outbox);
+      RepeatVacateRequest(now, operation, contacts, outbox);
     AdvanceHostOperation(now, host, operation, contacts, outbox);
   }
   chain_.Tick(now, outbox);
--- a/radishmoor/jobs/fleet_coordinator.h
+++ b/radishmoor/jobs/fleet_coordinator.h
@@ -1,14 +1,18 @@
-// Maintenance waves over hosts and moves of hosts between pools: empties each
-// host through the owner of its pool, then has the platform maintain or move
-// it, a limited number at once.
+// Carries out maintenance waves over hosts and moves of hosts between pools.
 //
-// One process keeps the fleet, by a lease of its own (kFleetPseudoPool). A
-// successor decides anew, with a higher token: the API answers a call that was
-// carried out already without carrying it out again.
+// For each host, the coordinator asks the owner of the host's pool to empty the
+// backend server, stores the intended call, and then has the platform maintain
+// or move the host. The number of hosts that are emptied or down for a wave at
+// once is limited, and so is the rate of moves.
 //
-// Load that it answers: waves over half of the hosts that must be over within
-// some 25 s, while queues peak in turn. Hosts of pools with little demand go
-// first, standby hosts before all.
+// One scheduler process is the fleet coordinator. It holds a lease of its own
+// (kFleetPseudoPool). A successor does not resume stored operations but plans
+// again, with a higher fencing token; the platform answers a repeated call
+// without carrying it out a second time.
+//
+// The coordinator is meant for waves over half of the hosts that must complete
+// within about 25 s while queues peak in rotation. Standby hosts are maintained
+// first, then hosts of pools with little demand.
 
 #ifndef RADISHMOOR_JOBS_FLEET_COORDINATOR_H_
 #define RADISHMOOR_JOBS_FLEET_COORDINATOR_H_
@@ -30,7 +34,8 @@
 
 namespace radishmoor {
 
-// Names the fleet's lease and the partition of its rows. No pool has this name.
+// Name of the fleet lease and of the partition that holds the coordinator's
+// rows. No pool has this name.
 inline constexpr std::string_view kFleetPseudoPool = "@fleet";
 
 struct FleetCoordinatorOptions {
@@ -39,16 +44,17 @@
   PlatformBounds bounds;
   FencingToken token = 0;
   RowVersion lease_version = 0;
-  Time lease_taken;
-  bool first_owner = false;
+  Time lease_taken;          // When the commit that took the lease was sent.
+  bool first_owner = false;  // No process has held the fleet lease before.
 };
 
-// Whom to ask about a pool.
+// The current owner of a pool, as far as this process knows.
 struct PoolOwnerContact {
   MemberId node;
   std::string address;
-  OwnerHeartbeat heartbeat;  // As last announced.
+  OwnerHeartbeat heartbeat;  // The latest one.
 
+  // Ratio of the pool's demand to its capacity; may exceed 1.
   double demand_share() const {
     return heartbeat.capacity_cores > 0
                ? heartbeat.demand_cores / heartbeat.capacity_cores
@@ -56,15 +62,17 @@
   }
 };
 
-// A wave, and since when its time runs as far as this process knows.
 struct ObservedWave {
   MaintenanceWave plan;
+  // When this process first learned of the wave. The time allowed for the wave
+  // is counted from here.
   Time first_seen_at;
 };
 
 class FleetCoordinator {
  public:
-  // `forecast` outlives the coordinator.
+  // Starts to read the rows of earlier coordinators. `forecast` must outlive
+  // the coordinator.
   FleetCoordinator(const FleetCoordinatorOptions& options,
                    const PeakForecast& forecast,
                    Outbox& outbox);
@@ -72,19 +80,27 @@
   void OnConfig(const JobConfig& config) { config_ = config; }
   void OnWaves(std::span<const ObservedWave> waves, Outbox& outbox);
   void OnVacateAnswer(Time now, const VacateAnswer& answer);
+  // OnStoreAnswer() and OnHostReply() return false if the request was not sent
+  // by this object.
   bool OnStoreAnswer(Time now, const StoreAnswer& answer);
   bool OnHostReply(Time now, const HostReply& reply, Outbox& outbox);
-  // The platform's list of hosts, asked for at `sent`.
+  // Replaces the list of hosts by the platform's, which was requested at
+  // `sent`.
   void OnHosts(Time sent, std::span<const HostListing> hosts, Outbox& outbox);
+  // Returns true once the rows of earlier coordinators have been read.
   bool wants_hosts() const;
-  // `contacts`: the owners of pools, as far as they are known.
+  // Starts and advances operations and sends what is due. `contacts` holds the
+  // pool owners with a recent heartbeat.
   void Tick(Time now,
             const std::map<PoolId, PoolOwnerContact>& contacts,
             Outbox& outbox);
   Time next_wake() const { return next_wake_; }
 
+  // Gives up the fleet lease with the next commit.
   void Release(const MemberId& successor) { chain_.Release(successor); }
   bool released() const { return chain_.released(); }
+  // Returns true once another process holds the lease or the platform has
+  // refused a call because of its fencing token.
   bool lost() const { return chain_.lost() || fenced_; }
   OwnerHeartbeat MakeHeartbeat(Time now) const {
     return chain_.LeaseHeartbeat(now);
@@ -93,122 +109,144 @@
  private:
   enum class Stage : uint8_t {
     kEmptying,   // The pool's owner is asked to empty the server.
-    kStoring,    // The call is being stored.
-    kCalling,    // The call is under way, or repeated.
-    kReturning,  // The call was carried out; the host is not back yet.
+    kStoring,    // The row with the intended call is being stored.
+    kCalling,    // A call is in flight or will be repeated.
+    kReturning,  // The call was carried out; the host is not up yet.
   };
   struct HostOperation {
     Stage stage = Stage::kEmptying;
     HostOperationKind kind = HostOperationKind::kMaintain;
-    uint64_t wave = 0;  // Of maintenance.
-    PoolId pool;        // That the host is in.
-    PoolId target;      // Of a move.
-    ServerId server;    // That ends by the call.
+    uint64_t wave = 0;   // For maintenance only.
+    PoolId pool;         // The host's pool before the call.
+    PoolId target_pool;  // For moves only.
+    ServerId server;     // The server to empty; the call ends it.
     Time stage_since;
-    Time started;
-    Time next_try;
-    Time next_request;  // To keep the server empty.
-    // The pool's owner that said so last, and when.
-    FencingToken empty_token = 0;
-    Time empty_at;
+    Time started_at;
+    Time next_try_at;
+    Time next_vacate_request_at;  // To keep the server empty.
+    // Fencing token of the pool's owner that last answered that the server is
+    // empty, and the time of its answer. 0 if there is no such answer.
+    FencingToken reported_empty_by = 0;
+    Time reported_empty_at;
     uint64_t call_tag = 0;
-    bool called = false;  // The call may have been carried out.
+    // The platform may have carried out a call that was sent.
+    bool call_may_be_executed = false;
   };
   struct Wave {
     MaintenanceWave plan;
     Time first_seen_at;
-    std::set<HostId> done;
-    std::map<HostId, Time> set_aside;  // Could not be emptied; until then.
-    std::map<HostId, Time> missing;    // Not in the list of hosts, since then.
+    std::set<HostId> done_hosts;
+    // Hosts that could not be emptied are not tried again before these times.
+    std::map<HostId, Time> postponed_until;
+    // Hosts that the platform does not list, and since when.
+    std::map<HostId, Time> missing_since;
     bool completed = false;
     uint64_t report_tag = 0;
     bool reported_start = false;
     bool reported_end = false;
-    Time next_report;
+    Time next_report_at;
   };
 
-  void SendLoad(Outbox& outbox);
-  void OnLoadRow(const Row& row);
+  // Requests the next page of the rows that earlier coordinators stored.
+  void SendRowScan(Outbox& outbox);
+  void OnStoredRow(const Row& row);
+  // Reports the start and the completion of waves to the operators.
   void ReportWaves(Time now, Outbox& outbox);
-  void StartHostOperations(Time now,
-                           const std::map<PoolId, PoolOwnerContact>& contacts,
-                           Outbox& outbox);
+  // Starts to empty hosts of the open waves, those of pools with the least
+  // demand first.
+  void StartMaintenance(Time now,
+                        const std::map<PoolId, PoolOwnerContact>& contacts,
+                        Outbox& outbox);
   void StartMoves(Time now,
                   const std::map<PoolId, PoolOwnerContact>& contacts,
                   Outbox& outbox);
-  // Begins `moves` with hosts that can be emptied; if those of a standby pool
-  // do not suffice, with hosts that are being emptied to go there.
+  // Starts to empty hosts for `moves`. If a standby pool has too few hosts,
+  // also redirects hosts that are being emptied for a move to standby.
   void StartMove(Time now,
                  const HostMoves& moves,
                  const std::map<PoolId, PoolOwnerContact>& contacts,
                  Outbox& outbox);
+  // Redirects up to `count` moves to standby whose hosts are still being
+  // emptied. The move of a host that is in the pool `to` is abandoned.
   void RedirectMoves(Time now,
                      const PoolId& to,
                      uint32_t count,
                      const std::map<PoolId, PoolOwnerContact>& contacts,
                      Outbox& outbox);
-  // Hosts that are being emptied to move to the pool.
-  uint32_t EmptyingFor(const PoolId& pool) const;
-  // Begins the emptying of a listed host; of maintenance, unless changed.
+  // Returns the number of hosts that are being emptied for a move to the pool.
+  uint32_t CountHostsEmptyingFor(const PoolId& pool) const;
+  // Adds an operation that starts to empty a listed host. The operation is
+  // maintenance unless the caller changes its kind.
   HostOperation& AddHostOperation(Time now, const HostId& host);
-  std::vector<PoolSizingInput> Sizes(
+  std::vector<PoolSizingInput> MakeSizingInputs(
       Time now,
       const std::map<PoolId, PoolOwnerContact>& contacts) const;
-  // Up to `count` hosts of the pool that can be moved, none of them in the
-  // zones of `avoid`.
-  std::vector<HostId> Movable(
+  // Returns up to `count` hosts of the pool that can be moved and are not in
+  // the zones `avoid`.
+  std::vector<HostId> FindMovableHosts(
       Time now,
       const PoolId& pool,
       uint32_t count,
       std::span<const ZoneId> avoid,
       const std::map<PoolId, PoolOwnerContact>& contacts) const;
-  bool MayCall(const HostOperation& operation) const;
-  // The present owner of the pool has said lately that the server is empty.
-  bool IsEmpty(Time now,
-               const HostOperation& operation,
-               const std::map<PoolId, PoolOwnerContact>& contacts) const;
-  // False if nobody is known to own the pool.
+  // Returns false if a call for maintenance would exceed the number of hosts
+  // that the wave may have down at once.
+  bool WaveAllowsCall(const HostOperation& operation) const;
+  // Returns true if the current owner of the pool has answered within
+  // kEmptyAnswerValidity that the server is empty. Standby hosts have no
+  // server.
+  bool IsServerEmpty(Time now,
+                     const HostOperation& operation,
+                     const std::map<PoolId, PoolOwnerContact>& contacts) const;
+  // Asks the pool's owner to empty the server or, with `withdraw`, to use it
+  // again. Returns false if no owner of the pool is known.
   bool RequestVacate(const HostOperation& operation,
                      bool withdraw,
                      const std::map<PoolId, PoolOwnerContact>& contacts,
                      Outbox& outbox);
-  void KeepEmpty(Time now,
-                 HostOperation& operation,
-                 const std::map<PoolId, PoolOwnerContact>& contacts,
-                 Outbox& outbox);
-  // The host cannot, or need not, be emptied now.
-  bool MustGiveUp(Time now,
-                  const HostId& host,
-                  const HostOperation& operation,
-                  const std::map<PoolId, PoolOwnerContact>& contacts) const;
-  void GiveUp(Time now,
-              const HostId& host,
-              const HostOperation& operation,
-              const std::map<PoolId, PoolOwnerContact>& contacts,
-              Outbox& outbox);
-  // A wave can wait for the pools with little demand.
-  bool HasTime(Time now, const Wave& wave) const;
+  // Keeps the server empty while the call is stored and carried out.
+  void RepeatVacateRequest(Time now,
+                           HostOperation& operation,
+                           const std::map<PoolId, PoolOwnerContact>& contacts,
+                           Outbox& outbox);
+  // Returns true if emptying takes too long, the host has changed, or its
+  // maintenance can wait because the pool is busy.
+  bool ShouldAbandon(Time now,
+                     const HostId& host,
+                     const HostOperation& operation,
+                     const std::map<PoolId, PoolOwnerContact>& contacts) const;
+  // Ends an operation before its call and lets the pool use the server again.
+  void Abandon(Time now,
+               const HostId& host,
+               const HostOperation& operation,
+               const std::map<PoolId, PoolOwnerContact>& contacts,
+               Outbox& outbox);
+  // Returns true if the wave has enough time left to wait until busy pools have
+  // less demand.
+  bool CanWait(Time now, const Wave& wave) const;
   void AdvanceHostOperation(Time now,
                             const HostId& host,
                             HostOperation& operation,
                             const std::map<PoolId, PoolOwnerContact>& contacts,
                             Outbox& outbox);
-  void OnCallReply(Time now,
-                   const HostId& host,
-                   HostOperation& operation,
-                   HostOutcome outcome,
-                   Outbox& outbox);
+  void OnHostCallReply(Time now,
+                       const HostId& host,
+                       HostOperation& operation,
+                       HostOutcome outcome,
+                       Outbox& outbox);
   void RemoveRow(const HostId& host) {
     chain_.Write({HostOperationKey(state_.pool, host), "", true});
   }
-  // The call for the host is over. Its row goes later: as long as it is there,
-  // a successor leaves the host alone for a while.
-  void RetireRow(Time now, const HostId& host) {
-    old_rows_.emplace_back(now, host);
+  // Removes the row of a finished call after some time. While the row exists, a
+  // successor makes no call for the host in the first
+  // `PlatformBounds::host_operation_lease` of its lease.
+  void RemoveRowLater(Time now, const HostId& host) {
+    rows_to_remove_.emplace_back(now, host);
   }
-  void RemoveOldRows(Time now);
-  // No earlier coordinator can have made a call for the host lately.
-  bool MayCallFor(Time now, const HostId& host) const;
+  void RemoveDueRows(Time now);
+  // Returns false if an earlier coordinator may have made a call for the host
+  // within the last `PlatformBounds::host_operation_lease`.
+  bool NoRecentEarlierCall(Time now, const HostId& host) const;
   void StoreHostOperation(Time now,
                           const HostId& host,
                           HostOperation& operation);
@@ -218,29 +256,33 @@
                       Outbox& out);
   void CheckCompleted(Time now, Wave& wave, Outbox& outbox);
   bool IsStandby(const PoolId& pool) const;
-  // Hosts of the wave that are, or may be, down for maintenance.
-  uint32_t DownCount(uint64_t wave) const;
+  // Returns the number of hosts that are or may be down for the wave. Hosts in
+  // maintenance that no operation of this process explains are included.
+  uint32_t CountHostsDown(uint64_t wave) const;
   bool HasOpenWave() const;
   void Wake(Time at) { next_wake_ = std::min(next_wake_, at); }
 
   FleetCoordinatorOptions options_;
   JobConfig config_;
-  JobPoolState state_;  // Without jobs; the chain needs one.
+  JobPoolState state_;  // Holds no jobs; the commit chain needs it.
   CommitChain chain_;
-  uint64_t load_tag_ = 0;
-  std::string load_after_;  // The last row of the page before.
-  bool loaded_ = false;
-  Time load_retry_ = kTimeMax;
+  uint64_t scan_tag_ = 0;
+  std::string scan_after_;  // Key of the last row that was read.
+  bool rows_loaded_ = false;
+  Time next_scan_at_ = kTimeMax;
 
   std::map<HostId, HostListing> hosts_;
   std::map<uint64_t, Wave> waves_;
   std::map<HostId, HostOperation> host_operations_;
   FleetSizing sizing_;
-  Time next_sizing_;
-  std::map<HostId, std::set<uint64_t>> stored_done_;
-  std::deque<std::pair<Time, HostId>> old_rows_;
-  // Hosts for which an earlier coordinator may have made calls lately.
-  std::set<HostId> called_before_;
+  Time next_sizing_at_;
+  // Waves in which a host was maintained, as earlier coordinators stored.
+  std::map<HostId, std::set<uint64_t>> maintained_waves_;
+  // Hosts with a row to remove, by the time at which their call was finished.
+  std::deque<std::pair<Time, HostId>> rows_to_remove_;
+  // Hosts for which an earlier coordinator has stored a call.
+  std::set<HostId> hosts_called_earlier_;
+  // The platform has seen a call with a higher fencing token.
   bool fenced_ = false;
   Time next_wake_ = kTimeMax;
 };
--- a/radishmoor/jobs/testing/fleet_coordinator_test.cc
+++ b/radishmoor/jobs/testing/fleet_coordinator_test.cc
@@ -10,9 +10,11 @@
 namespace radishmoor {
 namespace {
 
-constexpr Duration kStep = Milliseconds(50);
+constexpr Duration kTickPeriod = Milliseconds(50);
 
-// A coordinator with a store and a host API that does at once what it is told.
+// Runs a fleet coordinator against a store and a host API that carry out each
+// request without delay. Pools "a" and "b" have four hosts each, the standby
+// pool "spare" has four more.
 class FleetCoordinatorHarness {
  public:
   FleetCoordinatorHarness() {
@@ -29,6 +31,7 @@
     }
   }
 
+  // Replaces the coordinator by a successor with a new lease.
   void TakeOver() {
     FleetCoordinatorOptions options;
     options.node = MemberId("n" + std::to_string(token_));
@@ -47,15 +50,15 @@
     coordinator_ =
         std::make_unique<FleetCoordinator>(options, forecast_, outbox_);
     coordinator_->OnConfig(config_);
-    std::vector<ObservedWave> known;
+    std::vector<ObservedWave> observed_waves;
     for (const MaintenanceWave& wave : waves_)
-      known.push_back({wave, wave_seen_.value_or(now_)});
-    coordinator_->OnWaves(known, outbox_);
+      observed_waves.push_back({wave, wave_first_seen_at_.value_or(now_)});
+    coordinator_->OnWaves(observed_waves, outbox_);
   }
 
   Time now() const { return now_; }
 
-  // A row that an earlier coordinator has left.
+  // Stores a row as an earlier coordinator would have left it.
   void PutHostOperation(const std::string& key, const HostOperationRow& row) {
     Transaction transaction;
     transaction.writes.push_back({key, EncodeHostOperation(row)});
@@ -63,30 +66,33 @@
   }
 
   void Run(Duration length) {
-    for (Time end = now_ + length; now_ < end; now_ += kStep) {
+    for (Time end = now_ + length; now_ < end; now_ += kTickPeriod) {
       coordinator_->Tick(now_, Contacts(), outbox_);
       if (coordinator_->wants_hosts())
         coordinator_->OnHosts(now_, hosts_, outbox_);
       for (int round = 0; round < 4; ++round) {
         for (JobAction& action : outbox_.TakeAllActions())
-          Carry(action);
+          Execute(action);
       }
     }
   }
 
   std::vector<MaintenanceWave> waves_;
-  std::optional<Time> wave_seen_;  // Else: when the coordinator took over.
-  std::map<PoolId, double> demand_;
-  std::vector<HostId> maintained_;
-  std::vector<HostId> moved_;
-  std::set<uint64_t> completed_;
-  bool throttle_ = false;
-  // Servers that the pools' owners do not say to be empty.
-  std::set<ServerId> busy_;
-  std::vector<std::string> faults_;
+  // If unset, a coordinator sees the waves first when it takes over.
+  std::optional<Time> wave_first_seen_at_;
+  std::map<PoolId, double> demand_cores_;
+  std::vector<HostId> maintained_hosts_;
+  std::vector<HostId> moved_hosts_;
+  std::set<uint64_t> completed_waves_;
+  bool throttle_calls_ = false;
+  // Servers that the pools' owners report as not empty yet.
+  std::set<ServerId> busy_servers_;
+  std::vector<std::string> violations_;
   PeakForecast forecast_;
-  std::set<HostId> down_;  // Listed so; the API refuses calls for them.
-  int refused_ = 0;
+  // The API refuses calls for these hosts. The first call makes the list show
+  // them as down.
+  std::set<HostId> down_hosts_;
+  int refused_calls_ = 0;
 
  private:
   std::map<PoolId, PoolOwnerContact> Contacts() {
@@ -97,7 +103,7 @@
       contact.heartbeat.pool = PoolId(name);
       contact.heartbeat.token = 1;
       contact.heartbeat.capacity_cores = 64;
-      contact.heartbeat.demand_cores = demand_[PoolId(name)];
+      contact.heartbeat.demand_cores = demand_cores_[PoolId(name)];
       for (const HostListing& host : hosts_) {
         if (host.pool == PoolId(name))
           contact.heartbeat.spare_servers.push_back(host.server);
@@ -107,36 +113,36 @@
     return contacts;
   }
 
-  void Carry(const JobAction& action) {
+  void Execute(const JobAction& action) {
     if (const auto* call = std::get_if<StoreCall>(&action)) {
       coordinator_->OnStoreAnswer(now_,
                                   {call->tag, table_.Handle(call->request)});
     } else if (const auto* report = std::get_if<ReportWave>(&action)) {
       if (report->completed)
-        completed_.insert(report->wave);
+        completed_waves_.insert(report->wave);
       coordinator_->OnStoreAnswer(now_, {report->tag, CommittedReply{}});
     } else if (const auto* send = std::get_if<SendJobPeer>(&action)) {
       const auto& request = std::get<VacateRequest>(send->message);
       if (request.withdraw)
         return;
-      bool busy = busy_.contains(request.server);
+      bool busy = busy_servers_.contains(request.server);
       coordinator_->OnVacateAnswer(
           now_, {request.pool, request.server,
                  busy ? VacateState::kEmptying : VacateState::kEmpty, 1});
     } else if (const auto* call = std::get_if<HostCall>(&action)) {
-      coordinator_->OnHostReply(now_, {call->tag, Apply(call->request), {}},
+      coordinator_->OnHostReply(now_, {call->tag, CallHost(call->request), {}},
                                 outbox_);
     }
   }
 
-  HostOutcome Apply(const HostRequest& request) {
-    if (throttle_)
+  HostOutcome CallHost(const HostRequest& request) {
+    if (throttle_calls_)
       return HostOutcome::kThrottled;
     const auto* maintain = std::get_if<MaintainHost>(&request);
     const auto* move = std::get_if<MoveHost>(&request);
     HostId id = maintain != nullptr ? maintain->host : move->host;
-    if (down_.contains(id)) {
-      ++refused_;
+    if (down_hosts_.contains(id)) {
+      ++refused_calls_;
       for (HostListing& host : hosts_) {
         if (host.host == id)
           host.state = ListedHostState::kDown;
@@ -146,9 +152,10 @@
     for (HostListing& host : hosts_) {
       if (host.host != id)
         continue;
-      if (busy_.contains(host.server))
-        faults_.push_back(id.str() + " is called while it is in use");
-      (maintain != nullptr ? maintained_ : moved_).push_back(id);
+      if (busy_servers_.contains(host.server))
+        violations_.push_back(id.str() +
+                              " is called while its server is in use");
+      (maintain != nullptr ? maintained_hosts_ : moved_hosts_).push_back(id);
       if (move != nullptr)
         host.pool = move->pool;
       host.server = host.pool == PoolId("spare")
@@ -172,134 +179,145 @@
   return {1, std::move(hosts), Seconds(25), 2};
 }
 
-TEST_CASE("each host of a wave is maintained once", "[coordinator]") {
+TEST_CASE("each host of a wave is maintained exactly once", "[coordinator]") {
   FleetCoordinatorHarness site;
   site.waves_ = {WaveOver({HostId("h0"), HostId("h5"), HostId("h9")})};
   site.TakeOver();
   site.Run(Seconds(10));
-  REQUIRE(site.maintained_.size() == 3);
-  REQUIRE(site.completed_.contains(1));
+  REQUIRE(site.maintained_hosts_.size() == 3);
+  REQUIRE(site.completed_waves_.contains(1));
 }
 
-// A later move of a host must not make a successor forget its maintenance.
-TEST_CASE("a successor knows which hosts are done", "[coordinator]") {
+// Guards against a successor that maintains a host a second time because the
+// host was moved after its maintenance.
+TEST_CASE("a successor repeats no maintenance of a host that moved since",
+          "[coordinator]") {
   FleetCoordinatorHarness site;
   site.waves_ = {WaveOver({HostId("h8"), HostId("h9"), HostId("h10")})};
   site.TakeOver();
-  site.demand_[PoolId("a")] = 10;
+  site.demand_cores_[PoolId("a")] = 10;
   site.Run(Seconds(3));
-  REQUIRE(site.maintained_.size() == 3);
-  site.demand_[PoolId("a")] = 150;
+  REQUIRE(site.maintained_hosts_.size() == 3);
+  site.demand_cores_[PoolId("a")] = 150;
   site.Run(Seconds(3));
-  REQUIRE_FALSE(site.moved_.empty());
-  site.demand_[PoolId("a")] = 10;
+  REQUIRE_FALSE(site.moved_hosts_.empty());
+  site.demand_cores_[PoolId("a")] = 10;
   site.TakeOver();
   site.Run(Seconds(10));
-  REQUIRE(site.maintained_.size() == 3);
-  REQUIRE(site.completed_.contains(1));
+  REQUIRE(site.maintained_hosts_.size() == 3);
+  REQUIRE(site.completed_waves_.contains(1));
 }
 
-// A call that was refused for its rate must not be repeated on an old word that
-// the server is empty.
-TEST_CASE("a throttled call asks the pool's owner again", "[coordinator]") {
+// Guards against a repeat of a throttled call that relies on an old answer that
+// the server is empty, although the server is in use again.
+TEST_CASE("a throttled call is repeated only for an empty server",
+          "[coordinator]") {
   FleetCoordinatorHarness site;
   site.waves_ = {WaveOver({HostId("h0")})};
-  site.throttle_ = true;
+  site.throttle_calls_ = true;
   site.TakeOver();
   site.Run(Seconds(2));
-  site.busy_ = {ServerId("s1")};
+  site.busy_servers_ = {ServerId("s1")};
   site.Run(Seconds(1));
-  site.throttle_ = false;
+  site.throttle_calls_ = false;
   site.Run(Seconds(2));
-  REQUIRE(site.faults_.empty());
-  REQUIRE(site.maintained_.empty());
-  site.busy_.clear();
+  REQUIRE(site.violations_.empty());
+  REQUIRE(site.maintained_hosts_.empty());
+  site.busy_servers_.clear();
   site.Run(Seconds(4));
-  REQUIRE(site.maintained_.size() == 1);
+  REQUIRE(site.maintained_hosts_.size() == 1);
 }
 
-// Waves that have time leave a pool whose queue peaks alone.
-TEST_CASE("a busy pool is maintained later", "[coordinator]") {
+// Guards against a wave that takes hosts from a peaking pool while there is
+// time to wait for the end of the peak.
+TEST_CASE("a wave with time left maintains busy pools last", "[coordinator]") {
   FleetCoordinatorHarness site;
   site.waves_ = {WaveOver({HostId("h0"), HostId("h5")})};
-  site.demand_[PoolId("a")] = 60;
+  site.demand_cores_[PoolId("a")] = 60;
   site.TakeOver();
   site.Run(Seconds(4));
-  REQUIRE(site.maintained_ == std::vector<HostId>{HostId("h5")});
+  REQUIRE(site.maintained_hosts_ == std::vector<HostId>{HostId("h5")});
   site.Run(Seconds(20));
-  REQUIRE(site.maintained_.size() == 2);
+  REQUIRE(site.maintained_hosts_.size() == 2);
 }
 
-// A successor must not take the time of a wave to begin with its own.
-TEST_CASE("a wave that began long ago does not wait", "[coordinator]") {
+// Guards against a successor that counts the time of a wave from its own
+// takeover and waits for a busy pool until the wave is late.
+TEST_CASE("a wave that started 20 s ago does not wait for a busy pool",
+          "[coordinator]") {
   FleetCoordinatorHarness site;
   site.waves_ = {WaveOver({HostId("h0")})};
-  site.demand_[PoolId("a")] = 60;
-  site.wave_seen_ = kTimeZero + Seconds(80);
+  site.demand_cores_[PoolId("a")] = 60;
+  site.wave_first_seen_at_ = kTimeZero + Seconds(80);
   site.TakeOver();
   site.Run(Seconds(3));
-  REQUIRE(site.maintained_.size() == 1);
+  REQUIRE(site.maintained_hosts_.size() == 1);
 }
 
-// Guards against a successor that leaves all hosts alone for the time that two
-// owners of one host's operations must be apart: no pool grew for 3 s. Only
-// hosts that were called lately have to wait.
+// Guards against a successor that calls no host at all for the minimum time
+// between two owners of a host's operations: no pool grew for 3 s. Only hosts
+// that were called recently have to wait.
 TEST_CASE("a successor waits only for hosts with recent calls",
           "[coordinator]") {
   FleetCoordinatorHarness site;
   site.waves_ = {WaveOver({HostId("h8")})};
   site.TakeOver();
-  site.demand_[PoolId("a")] = 10;
+  site.demand_cores_[PoolId("a")] = 10;
   site.Run(Seconds(1));
-  REQUIRE(site.maintained_ == std::vector<HostId>{HostId("h8")});
+  REQUIRE(site.maintained_hosts_ == std::vector<HostId>{HostId("h8")});
   site.waves_.clear();
-  site.demand_[PoolId("a")] = 150;
-  site.moved_.clear();
+  site.demand_cores_[PoolId("a")] = 150;
+  site.moved_hosts_.clear();
   site.TakeOver();
   site.Run(Seconds(1));
-  REQUIRE(site.moved_.size() >= 3);
-  auto called = [&] {
-    return std::count(site.moved_.begin(), site.moved_.end(), HostId("h8"));
+  REQUIRE(site.moved_hosts_.size() >= 3);
+  auto calls_for_h8 = [&] {
+    return std::count(site.moved_hosts_.begin(), site.moved_hosts_.end(),
+                      HostId("h8"));
   };
-  REQUIRE(called() == 0);
+  REQUIRE(calls_for_h8() == 0);
   site.Run(Milliseconds(1800));
-  REQUIRE(called() == 0);
+  REQUIRE(calls_for_h8() == 0);
 }
 
-// Guards against calls each half second for a host that is lost: 50 in one
-// incident, each of which is paid for.
-TEST_CASE("a host that is down is not called", "[coordinator]") {
+// Guards against a call every half second for a host that is down: 50 calls in
+// one incident, each of which costs money.
+TEST_CASE("a host that is listed as down is not called again",
+          "[coordinator]") {
   FleetCoordinatorHarness site;
   site.waves_ = {WaveOver({HostId("h8"), HostId("h9")})};
-  site.down_ = {HostId("h8")};
+  site.down_hosts_ = {HostId("h8")};
   site.TakeOver();
   site.Run(Seconds(10));
-  REQUIRE(site.maintained_ == std::vector<HostId>{HostId("h9")});
-  REQUIRE(site.refused_ == 1);
+  REQUIRE(site.maintained_hosts_ == std::vector<HostId>{HostId("h9")});
+  REQUIRE(site.refused_calls_ == 1);
 }
 
-// Guards against a successor that meets a regular peak late since it has not
-// seen the turns before.
-TEST_CASE("a successor brings hosts ahead of a turn", "[coordinator]") {
-  constexpr Duration kTurn = Milliseconds(4500);
+// Guards against a successor that reacts late to a regular peak because it
+// knows nothing of the peaks before its takeover.
+TEST_CASE("a successor moves hosts ahead of a predicted peak",
+          "[coordinator]") {
+  constexpr Duration kPeakInterval = Milliseconds(4500);
   FleetCoordinatorHarness site;
-  site.demand_[PoolId("a")] = 10;
-  site.demand_[PoolId("b")] = 10;
-  Time start = site.now() - kTurn * 4;
+  site.demand_cores_[PoolId("a")] = 10;
+  site.demand_cores_[PoolId("b")] = 10;
+  Time start = site.now() - kPeakInterval * 4;
   const char* names[] = {"a", "b", "c", "d"};
   for (Time at = start; at < site.now(); at += Milliseconds(300)) {
-    auto turn = (at - start) / kTurn;
+    auto peaking_pool = (at - start) / kPeakInterval;
     for (int i = 0; i < 4; ++i) {
-      site.forecast_.Observe(at, PoolId(names[i]), i == turn ? 150 : 5, 16);
+      site.forecast_.Observe(at, PoolId(names[i]), i == peaking_pool ? 150 : 5,
+                             16);
     }
   }
   site.TakeOver();
   site.Run(Seconds(1));
-  REQUIRE(site.moved_.size() >= 2);
+  REQUIRE(site.moved_hosts_.size() >= 2);
 }
 
-// Guards against a successor that reads only the first page of the rows: it
-// would maintain hosts again, and call others too soon after an earlier call.
+// Guards against a successor that reads only the first page of the stored rows:
+// it would maintain hosts a second time and call others too soon after a call
+// of an earlier coordinator.
 TEST_CASE("a successor reads all rows of earlier coordinators",
           "[coordinator]") {
   FleetCoordinatorHarness site;
@@ -309,15 +327,15 @@
     site.PutHostOperation(HostOperationKey(fleet, host),
                           {host, HostOperationKind::kMove, PoolId("a")});
   }
-  HostId done("h8");
+  HostId maintained("h8");
   site.PutHostOperation(
-      MaintainedKey(fleet, done, 1),
-      {done, HostOperationKind::kMaintained, PoolId("spare"), 1});
-  site.waves_ = {WaveOver({done, HostId("h9")})};
+      MaintainedKey(fleet, maintained, 1),
+      {maintained, HostOperationKind::kMaintained, PoolId("spare"), 1});
+  site.waves_ = {WaveOver({maintained, HostId("h9")})};
   site.TakeOver();
   site.Run(Seconds(6));
-  REQUIRE(site.maintained_ == std::vector<HostId>{HostId("h9")});
-  REQUIRE(site.completed_.contains(1));
+  REQUIRE(site.maintained_hosts_ == std::vector<HostId>{HostId("h9")});
+  REQUIRE(site.completed_waves_.contains(1));
 }
 
 }  // namespace
