--- a/radishmoor/jobs/job_request_handler.cc
+++ b/radishmoor/jobs/job_request_handler.cc
@@ -7,27 +7,36 @@
 namespace radishmoor {
 namespace {
 
+// Time limit of a call whose caller gave none.
 constexpr Duration kDefaultTimeLimit = Seconds(3);
-// Left of a time limit for the answer to reach the caller.
+// A call ends this long before its time limit, so that the answer reaches the
+// caller in time.
 constexpr Duration kAnswerMargin = Milliseconds(150);
+// Time to wait for a pool owner's answer about a job's state or a cancellation.
 constexpr Duration kOwnerTimeout = Milliseconds(150);
-// An owner stores a job with its next commit; a slow store delays that.
-// After this time it is handed over again.
+// Time to wait for a pool's owner to store a job before the job is handed over
+// again. The owner stores it with its next commit, which a slow store delays.
 constexpr Duration kHandOverTimeout = Milliseconds(900);
-// An owner that was heard of, and renewed its lease, this lately. While the
-// store is slow a renewal takes a second and more; an owner stores what has
-// gathered with each, while inserts of their own would keep it from that.
-constexpr Duration kFreshHeartbeatAge = Milliseconds(800);
-constexpr Duration kHealthyOwner = Milliseconds(3000);
+// A submission is handed over to the pool's owner only if the owner's last
+// heartbeat and its last lease renewal are not older than this. The second
+// limit is longer because a renewal takes a second or more while the store is
+// slow. In that state handing over is still better: the owner stores all
+// gathered jobs with each commit, and separate inserts would delay its commits.
+constexpr Duration kMaxHandOverHeartbeatAge = Milliseconds(800);
+constexpr Duration kMaxUnrenewedTime = Milliseconds(3000);
 constexpr Duration kStoreTimeout = Milliseconds(500);
-constexpr Duration kStoreRetry = Milliseconds(60);
-// Queue lengths are answered from an announcement of at most this age.
+constexpr Duration kStoreRetryDelay = Milliseconds(60);
+// An owner with an older heartbeat is not asked about jobs. Queue lengths are
+// answered only if the heartbeat and the lease renewal together are not older.
 constexpr Duration kMaxHeartbeatAge = Milliseconds(1800);
-constexpr Duration kUnavailableRetry = Seconds(1);
-// A store that is lost stays away for some seconds as a rule.
-constexpr Duration kStoreLostRetry = Seconds(2);
-// Callers repeat a submission within this time.
-constexpr Duration kMovedQueueTime = Seconds(20);
+// Times after which a refused caller should repeat its call. A store that is
+// lost usually stays away for some seconds.
+constexpr Duration kUnavailableRetryAfter = Seconds(1);
+constexpr Duration kStoreLostRetryAfter = Seconds(2);
+// For this long after a queue has moved to another pool, a submission may be a
+// repeat of one that was stored for the earlier pool. Callers repeat a
+// submission within this time.
+constexpr Duration kMovedQueueWindow = Seconds(20);
 constexpr size_t kJobIdDigits = 16;
 constexpr size_t kMaxOpenCalls = 2000;
 
@@ -64,7 +73,7 @@
   for (const QueueConfig& queue : config.queues) {
     const QueueConfig* before = config_.FindQueue(queue.id);
     if (before != nullptr && before->pool != queue.pool)
-      moved_[queue.id] = {before->pool, now};
+      moved_queues_[queue.id] = {before->pool, now};
   }
   config_ = config;
 }
@@ -72,15 +81,15 @@
 JobRequestHandler::Route JobRequestHandler::FindRoute(
     std::string_view host,
     std::string_view path) const {
-  Route best;
+  Route longest_match;
   for (const QueueConfig& queue : config_.queues) {
     if (queue.host != host || !path.starts_with(queue.path_prefix))
       continue;
-    if (best.queue == nullptr ||
-        queue.path_prefix.size() > best.queue->path_prefix.size())
-      best = {&queue, path.substr(queue.path_prefix.size())};
+    if (longest_match.queue == nullptr ||
+        queue.path_prefix.size() > longest_match.queue->path_prefix.size())
+      longest_match = {&queue, path.substr(queue.path_prefix.size())};
   }
-  return best;
+  return longest_match;
 }
 
 void JobRequestHandler::OnCall(Time now,
@@ -91,12 +100,12 @@
       [](const auto& request) { return std::tie(request.host, request.path); },
       call.request);
   if (config_.version == 0) {
-    Refuse(call.id, CallOutcome::kUnavailable, kUnavailableRetry,
+    Refuse(call.id, CallOutcome::kUnavailable, kUnavailableRetryAfter,
            "no-configuration", outbox);
     return;
   }
   if (calls_.size() >= kMaxOpenCalls) {
-    Refuse(call.id, CallOutcome::kOverloaded, kUnavailableRetry,
+    Refuse(call.id, CallOutcome::kOverloaded, kUnavailableRetryAfter,
            "too-many-calls", outbox);
     return;
   }
@@ -106,27 +115,27 @@
     Refuse(call.id, CallOutcome::kNoQueue, {}, "no-queue", outbox);
     return;
   }
-  bool reads = std::holds_alternative<ReadJob>(call.request);
-  if (reads && route.rest.empty()) {
+  bool is_read = std::holds_alternative<ReadJob>(call.request);
+  if (is_read && route.path_rest.empty()) {
     AnswerPending(now, call.id, *route.queue, outbox);
     return;
   }
   auto* submit = std::get_if<SubmitJob>(&call.request);
-  if (!IsJobId(route.rest)) {
+  if (!IsJobId(route.path_rest)) {
     Refuse(call.id,
            submit != nullptr ? CallOutcome::kBadJob : CallOutcome::kNoJob, {},
            "bad-job-id", outbox);
     return;
   }
   OpenCall open;
-  open.job = JobId(route.rest);
+  open.job = JobId(route.path_rest);
   open.queue = route.queue->id;
   open.pool = route.queue->pool;
   open.arrived = call.arrived;
   open.deadline = call.arrived + call.time_limit.value_or(kDefaultTimeLimit) -
                   kAnswerMargin;
   open.kind = submit != nullptr ? Kind::kSubmit
-              : reads           ? Kind::kRead
+              : is_read         ? Kind::kRead
                                 : Kind::kCancel;
   if (submit != nullptr) {
     open.spec = std::move(submit->spec);
@@ -139,22 +148,23 @@
   }
   JobCallId id = call.id;
   auto [it, inserted] = calls_.emplace(id, std::move(open));
-  Start(now, id, it->second, outbox);
+  StartCall(now, id, it->second, outbox);
 }
 
-void JobRequestHandler::Start(Time now,
-                              JobCallId id,
-                              OpenCall& call,
-                              Outbox& outbox) {
+void JobRequestHandler::StartCall(Time now,
+                                  JobCallId id,
+                                  OpenCall& call,
+                                  Outbox& outbox) {
   if (call.kind == Kind::kSubmit && store_lost_) {
-    Refuse(id, CallOutcome::kUnavailable, kStoreLostRetry, "store-lost",
+    Refuse(id, CallOutcome::kUnavailable, kStoreLostRetryAfter, "store-lost",
            outbox);
     return;
   }
   if (call.kind == Kind::kSubmit) {
-    auto moved = moved_.find(call.queue);
-    if (moved != moved_.end() && now - moved->second.at < kMovedQueueTime) {
-      ReadPool(id, call, moved->second.earlier, outbox);
+    auto moved = moved_queues_.find(call.queue);
+    if (moved != moved_queues_.end() &&
+        now - moved->second.moved_at < kMovedQueueWindow) {
+      ReadJobRows(id, call, moved->second.earlier_pool, outbox);
       return;
     }
     Submit(now, id, call, outbox);
@@ -162,14 +172,14 @@
   }
   const PoolOwner* owner = leases_.OwnerOf(call.pool);
   bool local = local_heartbeats_.contains(call.pool);
-  bool heard =
+  bool owner_reachable =
       owner != nullptr && now - owner->last_heartbeat_at < kMaxHeartbeatAge;
-  if (!local && !heard) {
-    Read(id, call, outbox);
+  if (!local && !owner_reachable) {
+    ReadFromStore(id, call, outbox);
     return;
   }
   call.stage = Stage::kAskingOwner;
-  call.timeout = now + kOwnerTimeout;
+  call.owner_timeout_at = now + kOwnerTimeout;
   uint64_t request = next_request_++;
   owner_calls_[request] = id;
   SendToOwner(
@@ -192,26 +202,27 @@
                                JobCallId id,
                                OpenCall& call,
                                Outbox& outbox) {
-  if (!HandOver(now, id, call, outbox))
-    Store(now, id, call, outbox);
+  if (!HandOverToOwner(now, id, call, outbox))
+    StoreJob(now, id, call, outbox);
 }
 
-bool JobRequestHandler::HandOver(Time now,
-                                 JobCallId id,
-                                 OpenCall& call,
-                                 Outbox& outbox) {
+bool JobRequestHandler::HandOverToOwner(Time now,
+                                        JobCallId id,
+                                        OpenCall& call,
+                                        Outbox& outbox) {
   auto local = local_heartbeats_.find(call.pool);
   const PoolOwner* owner = leases_.OwnerOf(call.pool);
-  Duration unrenewed = kTimeMax - kTimeZero;
+  Duration unrenewed_for = kTimeMax - kTimeZero;
   if (local != local_heartbeats_.end())
-    unrenewed = local->second.first.renewed_age;
+    unrenewed_for = local->second.first.renewed_age;
   else if (owner != nullptr && !owner->heartbeat.released &&
-           now - owner->last_heartbeat_at < kFreshHeartbeatAge)
-    unrenewed = now - owner->last_heartbeat_at + owner->heartbeat.renewed_age;
-  if (unrenewed > kHealthyOwner)
+           now - owner->last_heartbeat_at < kMaxHandOverHeartbeatAge)
+    unrenewed_for =
+        now - owner->last_heartbeat_at + owner->heartbeat.renewed_age;
+  if (unrenewed_for > kMaxUnrenewedTime)
     return false;
   call.stage = Stage::kAskingOwner;
-  call.timeout = now + kHandOverTimeout;
+  call.owner_timeout_at = now + kHandOverTimeout;
   uint64_t request = next_request_++;
   owner_calls_[request] = id;
   SendToOwner(
@@ -221,11 +232,11 @@
   return true;
 }
 
-void JobRequestHandler::Store(Time now,
-                              JobCallId id,
-                              OpenCall& call,
-                              Outbox& outbox) {
-  call.stage = Stage::kStoring;
+void JobRequestHandler::StoreJob(Time now,
+                                 JobCallId id,
+                                 OpenCall& call,
+                                 Outbox& outbox) {
+  call.stage = Stage::kStoringJob;
   call.retry_at = kTimeMax;
   Transaction transaction;
   std::string key = JobKey(call.pool, call.job);
@@ -235,34 +246,34 @@
       {InboxKey(call.pool, kInboxSubmitted, call.job), ""});
   Duration timeout =
       std::clamp(call.deadline - now, Milliseconds(50),
-                 call.uncertain ? 2 * kStoreTimeout : kStoreTimeout);
+                 call.may_be_stored ? 2 * kStoreTimeout : kStoreTimeout);
   uint64_t tag = outbox.CallStore(CommitRows{std::move(transaction)}, timeout);
   store_calls_[tag] = id;
 }
 
-void JobRequestHandler::OnStored(Time now,
-                                 JobCallId id,
-                                 const StoreReply& reply,
-                                 Outbox& outbox) {
+void JobRequestHandler::OnJobStored(Time now,
+                                    JobCallId id,
+                                    const StoreReply& reply,
+                                    Outbox& outbox) {
   OpenCall& call = calls_.at(id);
-  bool conflict = std::holds_alternative<ConflictReply>(reply);
-  if (conflict || std::holds_alternative<CommittedReply>(reply)) {
+  bool already_stored = std::holds_alternative<ConflictReply>(reply);
+  if (already_stored || std::holds_alternative<CommittedReply>(reply)) {
     SendToOwner(
         call.pool,
         JobNotice{call.pool, call.job, call.spec, now - call.arrived, 0},
         outbox);
-    OnAccepted(now, id, conflict, outbox);
+    OnAccepted(now, id, already_stored, outbox);
     return;
   }
-  bool unknown = std::holds_alternative<UnknownReply>(reply);
-  call.uncertain = call.uncertain || unknown;
-  if (!call.uncertain) {
-    Refuse(id, CallOutcome::kUnavailable, kUnavailableRetry,
+  bool outcome_unknown = std::holds_alternative<UnknownReply>(reply);
+  call.may_be_stored = call.may_be_stored || outcome_unknown;
+  if (!call.may_be_stored) {
+    Refuse(id, CallOutcome::kUnavailable, kUnavailableRetryAfter,
            "store-unavailable", outbox);
     return;
   }
-  // It may be stored: only a repeat can tell.
-  call.retry_at = unknown ? now : now + kStoreRetry;
+  // The job may be stored. Only a repeated insert can tell.
+  call.retry_at = outcome_unknown ? now : now + kStoreRetryDelay;
   if (call.retry_at >= call.deadline) {
     ++counters_.uncertain;
     Refuse(id, CallOutcome::kUncertain, {}, "store-unanswered", outbox);
@@ -286,7 +297,9 @@
   Finish(id, {.outcome = CallOutcome::kAccepted}, outbox);
 }
 
-void JobRequestHandler::Read(JobCallId id, OpenCall& call, Outbox& outbox) {
+void JobRequestHandler::ReadFromStore(JobCallId id,
+                                      OpenCall& call,
+                                      Outbox& outbox) {
   call.pools_to_read.clear();
   for (const QueueConfig& queue : config_.queues) {
     if (queue.pool != call.pool &&
@@ -294,30 +307,30 @@
                   queue.pool) == call.pools_to_read.end())
       call.pools_to_read.push_back(queue.pool);
   }
-  ReadPool(id, call, call.pool, outbox);
+  ReadJobRows(id, call, call.pool, outbox);
 }
 
-void JobRequestHandler::ReadPool(JobCallId id,
-                                 OpenCall& call,
-                                 const PoolId& pool,
-                                 Outbox& outbox) {
-  call.stage = Stage::kReading;
+void JobRequestHandler::ReadJobRows(JobCallId id,
+                                    OpenCall& call,
+                                    const PoolId& pool,
+                                    Outbox& outbox) {
+  call.stage = Stage::kReadingStore;
   uint64_t tag = outbox.CallStore(
       ReadRows{{ProgressKey(pool, call.job), JobKey(pool, call.job)}},
       kStoreTimeout);
   store_calls_[tag] = id;
 }
 
-void JobRequestHandler::OnRead(Time now,
-                               JobCallId id,
-                               const StoreReply& reply,
-                               Outbox& outbox) {
+void JobRequestHandler::OnJobRowsRead(Time now,
+                                      JobCallId id,
+                                      const StoreReply& reply,
+                                      Outbox& outbox) {
   OpenCall& call = calls_.at(id);
   const auto* rows = std::get_if<RowsReply>(&reply);
   if (rows == nullptr || rows->rows.size() != 2) {
-    call.retry_at = now + kStoreRetry;
+    call.retry_at = now + kStoreRetryDelay;
     if (call.retry_at >= call.deadline)
-      Refuse(id, CallOutcome::kUnavailable, kUnavailableRetry,
+      Refuse(id, CallOutcome::kUnavailable, kUnavailableRetryAfter,
              "store-unavailable", outbox);
     return;
   }
@@ -331,14 +344,14 @@
     return;
   }
   if (progress.version == 0 && definition.version == 0) {
-    // The queue may have belonged to another pool when the job was accepted.
+    // The job may have been accepted while its queue belonged to another pool.
     if (call.pools_to_read.empty()) {
       Refuse(id, CallOutcome::kNoJob, {}, "no-job", outbox);
       return;
     }
     call.pool = call.pools_to_read.back();
     call.pools_to_read.pop_back();
-    ReadPool(id, call, call.pool, outbox);
+    ReadJobRows(id, call, call.pool, outbox);
     return;
   }
   ++counters_.states_from_store;
@@ -346,20 +359,22 @@
   if (progress.version != 0) {
     std::optional<StoredProgress> stored = DecodeProgress(progress.value);
     if (!stored) {
-      Refuse(id, CallOutcome::kUnavailable, kUnavailableRetry,
+      Refuse(id, CallOutcome::kUnavailable, kUnavailableRetryAfter,
              "progress-unreadable", outbox);
       return;
     }
     state = stored->state;
   }
   if (call.kind == Kind::kCancel && !IsFinal(state))
-    Mark(id, call, outbox);
+    StoreCancellation(id, call, outbox);
   else
     AnswerState(id, state, outbox);
 }
 
-void JobRequestHandler::Mark(JobCallId id, OpenCall& call, Outbox& outbox) {
-  call.stage = Stage::kMarking;
+void JobRequestHandler::StoreCancellation(JobCallId id,
+                                          OpenCall& call,
+                                          Outbox& outbox) {
+  call.stage = Stage::kStoringCancellation;
   Transaction transaction;
   transaction.writes.push_back(
       {InboxKey(call.pool, kInboxCancelled, call.job), ""});
@@ -367,10 +382,10 @@
                                 kStoreTimeout)] = id;
 }
 
-void JobRequestHandler::OnMarked(Time now,
-                                 JobCallId id,
-                                 const StoreReply& reply,
-                                 Outbox& outbox) {
+void JobRequestHandler::OnCancellationStored(Time now,
+                                             JobCallId id,
+                                             const StoreReply& reply,
+                                             Outbox& outbox) {
   OpenCall& call = calls_.at(id);
   if (std::holds_alternative<CommittedReply>(reply)) {
     ++counters_.cancelled;
@@ -379,10 +394,10 @@
     Finish(id, {.outcome = CallOutcome::kCancelled}, outbox);
     return;
   }
-  call.retry_at = now + kStoreRetry;
+  call.retry_at = now + kStoreRetryDelay;
   if (call.retry_at >= call.deadline)
-    Refuse(id, CallOutcome::kUncertain, kUnavailableRetry, "store-unavailable",
-           outbox);
+    Refuse(id, CallOutcome::kUncertain, kUnavailableRetryAfter,
+           "store-unavailable", outbox);
 }
 
 bool JobRequestHandler::OnStoreAnswer(Time now,
@@ -396,14 +411,14 @@
   if (it == calls_.end())
     return true;
   switch (it->second.stage) {
-    case Stage::kStoring:
-      OnStored(now, id, answer.reply, outbox);
+    case Stage::kStoringJob:
+      OnJobStored(now, id, answer.reply, outbox);
       break;
-    case Stage::kReading:
-      OnRead(now, id, answer.reply, outbox);
+    case Stage::kReadingStore:
+      OnJobRowsRead(now, id, answer.reply, outbox);
       break;
-    case Stage::kMarking:
-      OnMarked(now, id, answer.reply, outbox);
+    case Stage::kStoringCancellation:
+      OnCancellationStored(now, id, answer.reply, outbox);
       break;
     case Stage::kAskingOwner:
       break;
@@ -420,15 +435,15 @@
   auto it = calls_.find(node.mapped());
   if (it == calls_.end() || it->second.stage != Stage::kAskingOwner)
     return;
-  bool submits = it->second.kind == Kind::kSubmit;
+  bool is_submission = it->second.kind == Kind::kSubmit;
   if (answer.state == JobAnswerState::kUnknown) {
-    if (submits)
-      Store(now, it->first, it->second, outbox);
+    if (is_submission)
+      StoreJob(now, it->first, it->second, outbox);
     else
-      Read(it->first, it->second, outbox);
+      ReadFromStore(it->first, it->second, outbox);
     return;
   }
-  if (submits) {
+  if (is_submission) {
     OnAccepted(now, it->first, false, outbox);
     return;
   }
@@ -462,17 +477,17 @@
     heartbeat = &owner->heartbeat;
     age = now - owner->last_heartbeat_at;
   }
-  // An owner without a recent renewal may have been succeeded.
-  bool current =
+  // An owner that has not renewed its lease recently may have a successor.
+  bool heartbeat_recent =
       heartbeat != nullptr && age + heartbeat->renewed_age < kMaxHeartbeatAge;
   const QueueLoad* load = nullptr;
-  for (size_t i = 0; current && i < heartbeat->queues.size(); ++i) {
+  for (size_t i = 0; heartbeat_recent && i < heartbeat->queues.size(); ++i) {
     if (heartbeat->queues[i].queue == queue.id)
       load = &heartbeat->queues[i];
   }
   if (load == nullptr) {
-    Refuse(id, CallOutcome::kUnavailable, kUnavailableRetry, "owner-unknown",
-           outbox);
+    Refuse(id, CallOutcome::kUnavailable, kUnavailableRetryAfter,
+           "owner-unknown", outbox);
     return;
   }
   outbox.AnswerCaller(
@@ -502,73 +517,73 @@
 void JobRequestHandler::Refuse(JobCallId id,
                                CallOutcome outcome,
                                Duration retry_after,
-                               std::string_view why,
+                               std::string_view reason,
                                Outbox& outbox) {
   auto it = calls_.find(id);
   ++counters_.refused;
   outbox.LogDecision("call-refused",
                      {{"job", it == calls_.end() ? "" : it->second.job.str()},
                       {"outcome", std::string(OutcomeName(outcome))},
-                      {"reason", std::string(why)},
+                      {"reason", std::string(reason)},
                       {"config", static_cast<int64_t>(config_.version)}});
   Finish(id,
          {.outcome = outcome,
           .retry_after = retry_after,
-          .detail = std::string(why),
+          .detail = std::string(reason),
           .reconnect_elsewhere = store_lost_},
          outbox);
 }
 
-void JobRequestHandler::GiveUp(JobCallId id,
-                               std::string_view why,
-                               Outbox& outbox) {
+void JobRequestHandler::RefuseUnanswered(JobCallId id,
+                                         std::string_view reason,
+                                         Outbox& outbox) {
   CallOutcome outcome = calls_.at(id).kind == Kind::kRead
                             ? CallOutcome::kUnavailable
                             : CallOutcome::kUncertain;
-  Refuse(id, outcome, kUnavailableRetry, why, outbox);
+  Refuse(id, outcome, kUnavailableRetryAfter, reason, outbox);
 }
 
 void JobRequestHandler::EndCalls(Outbox& outbox) {
   while (!calls_.empty())
-    GiveUp(calls_.begin()->first, "process-ending", outbox);
+    RefuseUnanswered(calls_.begin()->first, "process-ending", outbox);
 }
 
 void JobRequestHandler::Tick(Time now, Outbox& outbox) {
   std::vector<JobCallId> due;
   for (const auto& [id, call] : calls_) {
     bool owner_silent =
-        call.stage == Stage::kAskingOwner && now >= call.timeout;
+        call.stage == Stage::kAskingOwner && now >= call.owner_timeout_at;
     if (owner_silent || now >= call.retry_at || now >= call.deadline)
       due.push_back(id);
   }
   for (JobCallId id : due) {
     OpenCall& call = calls_.at(id);
     if (now >= call.deadline) {
-      GiveUp(id, "time-limit", outbox);
+      RefuseUnanswered(id, "time-limit", outbox);
       continue;
     }
     call.retry_at = kTimeMax;
     switch (call.stage) {
-      case Stage::kStoring:
-        Store(now, id, call, outbox);
+      case Stage::kStoringJob:
+        StoreJob(now, id, call, outbox);
         break;
       case Stage::kAskingOwner:
         if (call.kind == Kind::kSubmit) {
-          // The owner may still store it.
-          call.uncertain = true;
+          // The owner may still store the job.
+          call.may_be_stored = true;
           Submit(now, id, call, outbox);
           break;
         }
-        Read(id, call, outbox);
+        ReadFromStore(id, call, outbox);
         break;
-      case Stage::kReading:
+      case Stage::kReadingStore:
         if (call.kind == Kind::kSubmit)
-          Start(now, id, call, outbox);
+          StartCall(now, id, call, outbox);
         else
-          Read(id, call, outbox);
+          ReadFromStore(id, call, outbox);
         break;
-      case Stage::kMarking:
-        Mark(id, call, outbox);
+      case Stage::kStoringCancellation:
+        StoreCancellation(id, call, outbox);
         break;
     }
   }
@@ -579,7 +594,7 @@
   for (const auto& [id, call] : calls_) {
     next = std::min({next, call.deadline, call.retry_at});
     if (call.stage == Stage::kAskingOwner)
-      next = std::min(next, call.timeout);
+      next = std::min(next, call.owner_timeout_at);
   }
   return next;
 }
--- a/radishmoor/jobs/job_request_handler.h
+++ b/radishmoor/jobs/job_request_handler.h
@@ -1,13 +1,13 @@
-// Callers' requests on one process: submissions, states, cancellations and the
-// length of queues.
+// Handles callers' requests on one scheduler process: submissions, state
+// queries, cancellations and queries for the length of a queue.
 //
-// A submission is answered with success only after the store has acknowledged
-// it, and refused as not accepted only when it surely is not stored. In
-// between, when answers of the store are lost, it is repeated: the insert
-// expects that the job is absent, so a repeat finds the stored job.
+// A submission is accepted only after the store has acknowledged the job. It is
+// refused as not accepted only if the job is certainly not stored. If an answer
+// is lost in between, the insert is repeated; it expects that the job's row is
+// absent, so a repeat finds a job that is already stored.
 //
-// States come from the pool's owner; where it does not answer, from the store.
-// Only the store can say that a job does not exist.
+// The state of a job comes from the pool's owner or, if the owner does not
+// answer, from the store. Only the store can tell that a job does not exist.
 
 #ifndef RADISHMOOR_JOBS_JOB_REQUEST_HANDLER_H_
 #define RADISHMOOR_JOBS_JOB_REQUEST_HANDLER_H_
@@ -27,8 +27,9 @@
 
 class JobRequestHandler {
  public:
-  // `incarnation`: of the process, so that answers to an earlier one are not
-  // taken for its own.
+  // `incarnation` is that of this process. It is part of the request numbers,
+  // so that answers to an earlier incarnation are not mistaken for answers to
+  // this one. `leases` must outlive this object.
   JobRequestHandler(MemberId node,
                     uint64_t incarnation,
                     const PoolLeases& leases)
@@ -36,35 +37,41 @@
         leases_(leases),
         next_request_(incarnation << 20 | 1) {}
 
-  // The newest configuration; versions only grow.
+  // Applies a configuration unless a newer one is known.
   void OnConfig(Time now, const JobConfig& config);
   void OnCall(Time now, WallMillis wall, JobCall call, Outbox& outbox);
-  // The caller has gone: nothing is answered any more. A submission under way
-  // may still be stored.
+  // Drops a call whose caller has disconnected; it gets no answer. The job of a
+  // submission may still be stored.
   void OnAbandoned(JobCallId call);
+  // Returns false if the request was not sent by this object.
   bool OnStoreAnswer(Time now, const StoreAnswer& answer, Outbox& outbox);
+  // Handles the answer of a pool's owner.
   void OnJobAnswer(Time now, const JobAnswer& answer, Outbox& outbox);
   void Tick(Time now, Outbox& outbox);
   Time next_wake() const;
 
-  // Answers all open calls before the process ends.
+  // Refuses all open calls before the process ends. Submissions and
+  // cancellations are refused as uncertain.
   void EndCalls(Outbox& outbox);
 
-  // Announcement of a pool that this process owns itself.
+  // Records the heartbeat of a pool that this process owns, or owned until now.
   void SetLocalHeartbeat(const OwnerHeartbeat& heartbeat, Time now);
 
-  // Without the store nothing can be accepted: submissions are refused at once.
+  // While the store is lost, new submissions are refused at once, because no
+  // job can be accepted without the store.
   void SetStoreLost(bool lost) { store_lost_ = lost; }
 
   size_t open_calls() const { return calls_.size(); }
 
+  // Numbers of calls, counted since the start of the process.
   struct Counters {
     uint64_t accepted = 0;
-    uint64_t repeated = 0;
-    uint64_t refused = 0;
+    uint64_t repeated = 0;  // Submissions of jobs that were stored already.
+    uint64_t refused = 0;   // All refusals, the uncertain ones included.
+    // Submissions refused as uncertain because the store did not answer.
     uint64_t uncertain = 0;
     uint64_t states = 0;
-    uint64_t states_from_store = 0;
+    uint64_t states_from_store = 0;  // Reads and cancellations.
     uint64_t cancelled = 0;
     uint64_t unknown_queue = 0;
   };
@@ -72,72 +79,94 @@
 
  private:
   enum class Kind : uint8_t { kSubmit, kRead, kCancel };
-  enum class Stage : uint8_t { kStoring, kAskingOwner, kReading, kMarking };
+  enum class Stage : uint8_t {
+    kStoringJob,
+    kAskingOwner,
+    kReadingStore,
+    kStoringCancellation
+  };
   struct OpenCall {
     Kind kind = Kind::kRead;
-    Stage stage = Stage::kReading;
+    Stage stage = Stage::kReadingStore;
     JobId job;
     QueueId queue;
     PoolId pool;
     JobSpec spec;
     Time arrived;
     Time deadline;
-    Time timeout;  // Of the owner's answer.
+    Time owner_timeout_at;  // When to stop waiting in kAskingOwner.
     Time retry_at = kTimeMax;
-    bool uncertain = false;  // A submission may have been stored.
+    bool may_be_stored = false;  // An insert or the owner did not answer.
+    // Other pools whose rows may hold the job.
     std::vector<PoolId> pools_to_read;
   };
   struct Route {
     const QueueConfig* queue = nullptr;
-    std::string_view rest;  // Of the path, after the prefix.
+    std::string_view path_rest;  // The path after the queue's prefix.
   };
 
+  // Returns the queue of the host with the longest matching path prefix.
   Route FindRoute(std::string_view host, std::string_view path) const;
-  void Start(Time now, JobCallId id, OpenCall& call, Outbox& outbox);
-  // Hands a submission to the pool's owner; false if none is known to be well.
+  void StartCall(Time now, JobCallId id, OpenCall& call, Outbox& outbox);
+  // Hands a submission over to the pool's owner or else stores it directly.
   void Submit(Time now, JobCallId id, OpenCall& call, Outbox& outbox);
-  // Nothing is sent if no owner is known.
+  // Sends nothing if no owner of the pool is known.
   void SendToOwner(const PoolId& pool, JobPeerMessage message, Outbox& outbox);
-  bool HandOver(Time now, JobCallId id, OpenCall& call, Outbox& outbox);
-  void Store(Time now, JobCallId id, OpenCall& call, Outbox& outbox);
+  // Returns false if no owner of the pool is known to be renewing its lease.
+  bool HandOverToOwner(Time now, JobCallId id, OpenCall& call, Outbox& outbox);
+  void StoreJob(Time now, JobCallId id, OpenCall& call, Outbox& outbox);
   void OnAccepted(Time now, JobCallId id, bool repeat, Outbox& outbox);
-  void ReadPool(JobCallId id,
-                OpenCall& call,
-                const PoolId& pool,
-                Outbox& outbox);
-  void Read(JobCallId id, OpenCall& call, Outbox& outbox);
-  void Mark(JobCallId id, OpenCall& call, Outbox& outbox);
-  void OnStored(Time now, JobCallId id, const StoreReply& reply, Outbox& out);
-  void OnRead(Time now, JobCallId id, const StoreReply& reply, Outbox& outbox);
-  void OnMarked(Time now, JobCallId id, const StoreReply& reply, Outbox& out);
+  // Reads the job's progress and definition rows in the partition of `pool`.
+  void ReadJobRows(JobCallId id,
+                   OpenCall& call,
+                   const PoolId& pool,
+                   Outbox& outbox);
+  // Reads the job's rows in its pool and, if absent, in all other pools.
+  void ReadFromStore(JobCallId id, OpenCall& call, Outbox& outbox);
+  // Writes the cancellation to the pool's inbox, where the owner finds it.
+  void StoreCancellation(JobCallId id, OpenCall& call, Outbox& outbox);
+  void OnJobStored(Time now,
+                   JobCallId id,
+                   const StoreReply& reply,
+                   Outbox& out);
+  void OnJobRowsRead(Time now,
+                     JobCallId id,
+                     const StoreReply& reply,
+                     Outbox& outbox);
+  void OnCancellationStored(Time now,
+                            JobCallId id,
+                            const StoreReply& reply,
+                            Outbox& out);
   void AnswerPending(Time now,
                      JobCallId id,
                      const QueueConfig& queue,
                      Outbox& outbox);
   void AnswerState(JobCallId id, JobState state, Outbox& outbox);
   void Finish(JobCallId id, JobCallAnswer answer, Outbox& outbox);
-  // Refuses a call that gets no other answer in time.
-  void GiveUp(JobCallId id, std::string_view why, Outbox& outbox);
+  // Refuses a call that has no answer yet: a read as unavailable, and a
+  // submission or cancellation as uncertain.
+  void RefuseUnanswered(JobCallId id, std::string_view reason, Outbox& outbox);
   void Refuse(JobCallId id,
               CallOutcome outcome,
               Duration retry_after,
-              std::string_view why,
+              std::string_view reason,
               Outbox& outbox);
 
   MemberId node_;
   const PoolLeases& leases_;
-  // Queues that went to another pool lately: a repeated submission may have
-  // been stored for the earlier one.
+  // A queue that has moved to another pool. A repeated submission may have been
+  // stored for the earlier pool.
   struct MovedQueue {
-    PoolId earlier;
-    Time at;
+    PoolId earlier_pool;
+    Time moved_at;
   };
 
   JobConfig config_;
-  std::map<QueueId, MovedQueue> moved_;
+  std::map<QueueId, MovedQueue> moved_queues_;
   std::map<JobCallId, OpenCall> calls_;
-  std::map<uint64_t, JobCallId> store_calls_;
-  std::map<uint64_t, JobCallId> owner_calls_;
+  std::map<uint64_t, JobCallId> store_calls_;  // By the tag of the request.
+  std::map<uint64_t, JobCallId> owner_calls_;  // By the request number.
+  // The latest heartbeat of each pool that this process owns, and its time.
   std::map<PoolId, std::pair<OwnerHeartbeat, Time>> local_heartbeats_;
   uint64_t next_request_;
   Counters counters_;
