--- a/radishmoor/jobs/fleet_coordinator.cc
+++ b/radishmoor/jobs/fleet_coordinator.cc
@@ -60,7 +60,7 @@
              {options.node, options.address, options.lease_version, kTimeZero}),
       sizing_(options.first_owner, forecast) {
   state_.token = options.token;
-  chain_.set_renewed(options.lease_taken);
+  chain_.set_renewed(options.lease_taken_at);
   SendRowScan(outbox);
 }
 
@@ -85,11 +85,11 @@
   // The stored operation is not resumed, because its server may be in use
   // again. If its call was carried out, a repeated call has no effect.
   hosts_called_earlier_.insert(stored->host);
-  RemoveRowLater(options_.lease_taken, stored->host);
+  RemoveRowLater(options_.lease_taken_at, stored->host);
 }
 
 bool FleetCoordinator::NoRecentEarlierCall(Time now, const HostId& host) const {
-  return now - options_.lease_taken > options_.bounds.host_operation_lease ||
+  return now - options_.lease_taken_at > options_.bounds.host_operation_lease ||
          !hosts_called_earlier_.contains(host);
 }
 
--- a/radishmoor/jobs/fleet_coordinator.h
+++ b/radishmoor/jobs/fleet_coordinator.h
@@ -44,7 +44,7 @@
   PlatformBounds bounds;
   FencingToken token = 0;
   RowVersion lease_version = 0;
-  Time lease_taken;          // When the commit that took the lease was sent.
+  Time lease_taken_at;       // When the commit that took the lease was sent.
   bool first_owner = false;  // No process has held the fleet lease before.
 };
 
--- a/radishmoor/jobs/job_request_handler.cc
+++ b/radishmoor/jobs/job_request_handler.cc
@@ -543,7 +543,7 @@
   Refuse(id, outcome, kUnavailableRetryAfter, reason, outbox);
 }
 
-void JobRequestHandler::EndCalls(Outbox& outbox) {
+void JobRequestHandler::RefuseOpenCalls(Outbox& outbox) {
   while (!calls_.empty())
     RefuseUnanswered(calls_.begin()->first, "process-ending", outbox);
 }
--- a/radishmoor/jobs/job_request_handler.h
+++ b/radishmoor/jobs/job_request_handler.h
@@ -52,7 +52,7 @@
 
   // Refuses all open calls before the process ends. Submissions and
   // cancellations are refused as uncertain.
-  void EndCalls(Outbox& outbox);
+  void RefuseOpenCalls(Outbox& outbox);
 
   // Records the heartbeat of a pool that this process owns, or owned until now.
   void SetLocalHeartbeat(const OwnerHeartbeat& heartbeat, Time now);
--- a/radishmoor/jobs/node_core.cc
+++ b/radishmoor/jobs/node_core.cc
@@ -309,7 +309,7 @@
       options.bounds = options_.bounds;
       options.token = lease.token;
       options.lease_version = lease.version;
-      options.lease_taken = lease.sent;
+      options.lease_taken_at = lease.sent;
       options.first_owner = lease.first_owner;
       fleet_ = std::make_unique<FleetCoordinator>(options, forecast_, outbox_);
       fleet_->OnConfig(config_);
@@ -325,7 +325,7 @@
       options.bounds = options_.bounds;
       options.token = lease.token;
       options.lease_version = lease.version;
-      options.lease_taken = lease.sent;
+      options.lease_taken_at = lease.sent;
       options.earlier_leases_until = EarlierLeasesUntil(lease);
       schedulers_[lease.pool] =
           std::make_unique<PoolScheduler>(options, config_, outbox_);
@@ -555,7 +555,7 @@
   Duration limit = options_.grace - kEndMargin;
   bool unanswered = request_handler_.open_calls() > 0;
   if (stopping >= limit)
-    request_handler_.EndCalls(outbox_);
+    request_handler_.RefuseOpenCalls(outbox_);
   bool served = stopping >= kServeAfterStop && !unanswered && !HasOwned();
   bool over = stopping >= limit && !unanswered;
   if (served || over || stopping >= limit + kLastAnswersTime) {
--- a/radishmoor/jobs/pool_scheduler.cc
+++ b/radishmoor/jobs/pool_scheduler.cc
@@ -56,7 +56,7 @@
              {options.node, options.address, options.lease_version,
               options.earlier_leases_until}) {
   state_.token = options.token;
-  chain_.set_renewed(options.lease_taken);
+  chain_.set_renewed(options.lease_taken_at);
   OnConfig(config);
   SendLoad(outbox);
 }
@@ -185,7 +185,7 @@
        {"jobs", static_cast<int64_t>(state_.jobs.size())},
        {"open", static_cast<int64_t>(state_.jobs.open().size())},
        {"inherited_runs", static_cast<int64_t>(inherited)},
-       {"took_ms", WholeMilliseconds(now - options_.lease_taken)}});
+       {"took_ms", WholeMilliseconds(now - options_.lease_taken_at)}});
   load_.progress.clear();
   runs_.Wake(now);
   next_inbox_ = now + kInboxPeriod;
@@ -427,7 +427,7 @@
   for (const auto& [id, server] : state_.servers.all()) {
     bool silent = server.failed_polls > 0 ||
                   (!server.last_answer_at &&
-                   now - options_.lease_taken > kFirstPollGrace);
+                   now - options_.lease_taken_at > kFirstPollGrace);
     if (silent && !server.runs.empty())
       return true;
   }
--- a/radishmoor/jobs/pool_scheduler.h
+++ b/radishmoor/jobs/pool_scheduler.h
@@ -39,7 +39,7 @@
   // Of the lease that was taken.
   FencingToken token = 0;
   RowVersion lease_version = 0;
-  Time lease_taken;
+  Time lease_taken_at;
   // Leases that earlier owners gave have lapsed by then.
   Time earlier_leases_until;
 };
--- a/radishmoor/jobs/testing/fleet_coordinator_test.cc
+++ b/radishmoor/jobs/testing/fleet_coordinator_test.cc
@@ -37,7 +37,7 @@
     options.node = MemberId("n" + std::to_string(token_));
     options.token = ++token_;
     options.first_owner = token_ == 1;
-    options.lease_taken = now_;
+    options.lease_taken_at = now_;
     LeaseRow lease;
     lease.holder = options.node;
     lease.token = token_;
--- a/radishmoor/jobs/testing/pool_scheduler_test.cc
+++ b/radishmoor/jobs/testing/pool_scheduler_test.cc
@@ -44,7 +44,7 @@
     options.pool = pool_;
     options.node = MemberId("n");
     options.token = ++token_;
-    options.lease_taken = now_;
+    options.lease_taken_at = now_;
     LeaseRow lease;
     lease.holder = options.node;
     lease.token = token_;
