--- a/radishmoor/jobs/offered_load.h
+++ b/radishmoor/jobs/offered_load.h
@@ -1,13 +1,13 @@
-// How much work callers hand in, as the number of cores that it keeps busy.
+// Estimates how many cores the jobs that callers submit keep busy.
 //
 //   OfferedLoad load;
 //   load.Add(now, core_seconds);   // For each job that arrives.
 //   load.Cores(now);
 //
-// Load that it answers: the first moments of a peak. Running and waiting tasks
-// show a peak only as fast as they pile up; the rate of arrivals shows it with
-// the first jobs. Few jobs say little about a rate, so the estimate is cut by
-// its standard error.
+// Designed for the first moments of a peak: running and waiting tasks show a
+// peak only as fast as they pile up, but the rate of arrivals shows it with the
+// first jobs. A rate that is computed from few jobs is uncertain, so the
+// estimate is reduced by its standard error.
 
 #ifndef RADISHMOOR_JOBS_OFFERED_LOAD_H_
 #define RADISHMOOR_JOBS_OFFERED_LOAD_H_
@@ -18,17 +18,19 @@
 
 class OfferedLoad {
  public:
+  // Counts a job that arrives now with this much work.
   void Add(Time now, double core_seconds);
-  // Cores that the work of the last second or so keeps busy.
+  // Cores that the work which arrived in about the last second keeps busy.
   double Cores(Time now) const;
 
  private:
-  double Decay(Time now) const;
+  // The factor by which both sums have decayed since the last Add().
+  double DecayFactor(Time now) const;
 
-  // Sums in which older jobs count less.
+  // Sums over all jobs, weighted by an exponential decay with their age.
   double core_seconds_ = 0;
   double jobs_ = 0;
-  Time at_;
+  Time last_added_at_;
 };
 
 }  // namespace radishmoor
--- a/radishmoor/jobs/pacing.cc
+++ b/radishmoor/jobs/pacing.cc
@@ -5,26 +5,29 @@
 namespace radishmoor {
 namespace {
 
-// Above this share of the limit the pace is cut, below the other it is raised.
-// The tail is a rough figure, so the margin is wide.
-constexpr double kCutRatio = 0.85;
-constexpr double kStopRatio = 1.0;
-constexpr double kRaiseRatio = 0.65;
-constexpr uint32_t kRaiseStep = 15;
-constexpr uint32_t kMinPace = 10;
+// Ratios of tail latency to its limit. From kCutTailRatio on the pace is
+// halved, from kStopTailRatio on it falls to 25% or to 0, and up to
+// kRaiseTailRatio it is raised. Measured tails are imprecise, so the margins
+// are wide.
+constexpr double kCutTailRatio = 0.85;
+constexpr double kStopTailRatio = 1.0;
+constexpr double kRaiseTailRatio = 0.65;
+constexpr uint32_t kRaiseStepPercent = 15;
+// Halving below this pace stops the tasks.
+constexpr uint32_t kMinPacePercent = 10;
 
 }  // namespace
 
-uint32_t NextPace(uint32_t current, double worst_tail_ratio) {
-  if (worst_tail_ratio >= kStopRatio)
-    return current > 50 ? 25 : 0;
-  if (worst_tail_ratio >= kCutRatio) {
-    uint32_t half = current / 2;
-    return half < kMinPace ? 0 : half;
+uint32_t NextPace(uint32_t current_percent, double worst_tail_ratio) {
+  if (worst_tail_ratio >= kStopTailRatio)
+    return current_percent > 50 ? 25 : 0;
+  if (worst_tail_ratio >= kCutTailRatio) {
+    uint32_t half = current_percent / 2;
+    return half < kMinPacePercent ? 0 : half;
   }
-  if (worst_tail_ratio <= kRaiseRatio)
-    return std::min(100u, current + kRaiseStep);
-  return current;
+  if (worst_tail_ratio <= kRaiseTailRatio)
+    return std::min(100u, current_percent + kRaiseStepPercent);
+  return current_percent;
 }
 
 }  // namespace radishmoor
--- a/radishmoor/jobs/pacing.h
+++ b/radishmoor/jobs/pacing.h
@@ -1,8 +1,8 @@
-// Paces tasks that use spare room so that they do not push the tail of response
-// times of serving tasks beside them above its limit.
+// Throttles best-effort tasks so that they do not push the tail latency of
+// latency-sensitive tasks on the same server above its limit.
 //
-// Load that it answers: serving tasks whose load changes within seconds, beside
-// tasks that take all the room that is left.
+// Designed for latency-sensitive tasks whose load changes within seconds, next
+// to best-effort tasks that use all spare cores of the server.
 
 #ifndef RADISHMOOR_JOBS_PACING_H_
 #define RADISHMOOR_JOBS_PACING_H_
@@ -11,9 +11,10 @@
 
 namespace radishmoor {
 
-// The next pace in percent, from the current one and the largest ratio of a
-// tail to its limit among the serving tasks of the server.
-uint32_t NextPace(uint32_t current, double worst_tail_ratio);
+// Returns the next pace of a best-effort task in percent of its full speed; 0
+// pauses it. `worst_tail_ratio` is the largest ratio of tail latency to its
+// limit among the latency-sensitive tasks of the server.
+uint32_t NextPace(uint32_t current_percent, double worst_tail_ratio);
 
 }  // namespace radishmoor
 
--- a/radishmoor/jobs/placement.cc
+++ b/radishmoor/jobs/placement.cc
@@ -7,21 +7,28 @@
 namespace radishmoor {
 namespace {
 
-// Weights of a server's penalty beside the share of its cores that is free,
-// which is between 0 and 1.
-constexpr double kFarWeight = 2.0;   // For each unit of the far factor - 1.
-constexpr double kSlowWeight = 1.0;  // For each unit of slowness - 1.
-constexpr double kLeavingWeight = 0.5;
-constexpr double kFailedBeforeWeight = 3.0;
-constexpr double kSensitiveWeight = 0.6;  // For each run with a tail limit.
-constexpr double kSpareRunWeight = 0.3;   // For each run that uses spare room.
-constexpr double kGatherWeight = 0.5;     // With long-running tasks there.
-// A server slower than this gets work only when no other fits.
-constexpr double kTooSlow = 2.0;
-constexpr double kTooSlowPenalty = 10.0;
-// Of the logarithm of a job's work; two steps for each doubling.
-constexpr double kSizeSteps = 2.0;
-constexpr double kLeastWork = 0.01;  // Core-seconds.
+// The penalty of a server is the free share of its cores, between 0 and 1, plus
+// these terms.
+//
+// Multiplied by remote_data_slowdown - 1 if the server is away from the data.
+constexpr double kRemoteDataWeight = 2.0;
+// Multiplied by the server's slowness - 1.
+constexpr double kExcessSlownessWeight = 1.0;
+constexpr double kLeavingSoonWeight = 0.5;
+constexpr double kTaskFailedHereWeight = 3.0;
+// For a best-effort task: for each latency-sensitive run on the server.
+constexpr double kLatencySensitiveWeight = 0.6;
+// For a latency-sensitive task: for each best-effort run on the server.
+constexpr double kBestEffortWeight = 0.3;
+// For a long-running task: subtracted if the server has long-running runs.
+constexpr double kLongRunningBonus = 0.5;
+// A server slower than this gets a task only if the task fits on no other.
+constexpr double kMaxPreferredSlowness = 2.0;
+constexpr double kSlowServerPenalty = 10.0;
+// Jobs that have not begun are ordered by classes of work, this many for each
+// doubling of the work.
+constexpr double kSizeClassesPerDoubling = 2.0;
+constexpr double kMinWorkCoreSeconds = 0.01;
 
 bool HasLabel(std::span<const std::string> labels, const std::string& label) {
   return label.empty() ||
@@ -32,7 +39,7 @@
   const StepSpec& step = *task.step;
   if (!HasLabel(server.labels, step.requirement))
     return false;
-  if (step.max_per_server > 0 && server.same_step >= step.max_per_server)
+  if (step.max_per_server > 0 && server.same_step_runs >= step.max_per_server)
     return false;
   return !task.last_attempt || server.trusted;
 }
@@ -40,7 +47,7 @@
 double FreeShare(const PlacementServer& server) {
   if (server.capacity.cpu_millis <= 0)
     return 0;
-  return static_cast<double>(server.room.cpu_millis) /
+  return static_cast<double>(server.free_resources.cpu_millis) /
          static_cast<double>(server.capacity.cpu_millis);
 }
 
@@ -50,20 +57,20 @@
   const RackId& wanted =
       step.data_rack.empty() ? task.preferred_rack : step.data_rack;
   if (!wanted.empty() && server.rack != wanted)
-    penalty += kFarWeight * (task.remote_data_slowdown - 1);
-  penalty += kSlowWeight * std::max(0.0, server.slowness - 1);
-  if (server.slowness > kTooSlow)
-    penalty += kTooSlowPenalty;
+    penalty += kRemoteDataWeight * (task.remote_data_slowdown - 1);
+  penalty += kExcessSlownessWeight * std::max(0.0, server.slowness - 1);
+  if (server.slowness > kMaxPreferredSlowness)
+    penalty += kSlowServerPenalty;
   if (server.leaving_soon)
-    penalty += kLeavingWeight;
-  if (server.failed_before)
-    penalty += kFailedBeforeWeight;
-  if (step.long_running && server.long_runs > 0)
-    penalty -= kGatherWeight;
+    penalty += kLeavingSoonWeight;
+  if (server.task_failed_here)
+    penalty += kTaskFailedHereWeight;
+  if (step.long_running && server.long_running_runs > 0)
+    penalty -= kLongRunningBonus;
   if (step.best_effort)
-    penalty += kSensitiveWeight * server.latency_sensitive_runs;
+    penalty += kLatencySensitiveWeight * server.latency_sensitive_runs;
   if (step.tail_limit > Duration::zero())
-    penalty += kSpareRunWeight * server.best_effort_runs;
+    penalty += kBestEffortWeight * server.best_effort_runs;
   return penalty;
 }
 
@@ -76,15 +83,17 @@
   for (const JobOrderInput& job : jobs) {
     int64_t slack = (job.objective - now - job.remaining_chain).count();
     int64_t arrived = job.arrived.time_since_epoch().count();
-    // Sizes that differ by less than half count as the same.
-    auto size = static_cast<int64_t>(
-        kSizeSteps * std::log2(std::max(job.remaining_work, kLeastWork)));
+    // Jobs whose work differs by less than half share a class and are ordered
+    // by slack.
+    auto size_class = static_cast<int64_t>(
+        kSizeClassesPerDoubling *
+        std::log2(std::max(job.remaining_work, kMinWorkCoreSeconds)));
     if (job.long_running)
       keys.emplace_back(0, job.priority, arrived, 0, job.position);
     else if (job.CanMeetObjective(now) && job.begun)
       keys.emplace_back(1, job.priority, slack, arrived, job.position);
     else if (job.CanMeetObjective(now))
-      keys.emplace_back(2, job.priority, size, slack, job.position);
+      keys.emplace_back(2, job.priority, size_class, slack, job.position);
     else
       keys.emplace_back(3, job.priority, job.begun ? 0 : 1, arrived,
                         job.position);
@@ -101,15 +110,16 @@
                                    std::span<const PlacementServer> servers) {
   Resources request = task.step->counted_request();
   std::optional<size_t> best;
-  double least = 0;
+  double least_penalty = 0;
   for (size_t i = 0; i < servers.size(); ++i) {
     const PlacementServer& server = servers[i];
-    if (server.reserved || !request.Fits(server.room) || !MayRun(task, server))
+    if (server.reserved || !request.Fits(server.free_resources) ||
+        !MayRun(task, server))
       continue;
     double penalty = Penalty(task, server);
-    if (!best || penalty < least) {
+    if (!best || penalty < least_penalty) {
       best = i;
-      least = penalty;
+      least_penalty = penalty;
     }
   }
   return best;
@@ -125,7 +135,8 @@
     if (server.reserved || !request.Fits(server.capacity) ||
         !MayRun(task, server))
       continue;
-    if (!best || server.room.cpu_millis > servers[*best].room.cpu_millis)
+    if (!best || server.free_resources.cpu_millis >
+                     servers[*best].free_resources.cpu_millis)
       best = i;
   }
   return best;
--- a/radishmoor/jobs/placement.h
+++ b/radishmoor/jobs/placement.h
@@ -1,20 +1,21 @@
-// Which tasks start next, and on which server. Pure decisions over values.
+// Decides which tasks start next, and on which server. The functions are pure.
 //
-// Order, for the load in which a queue asks for more than its pool holds for
-// some seconds: jobs that have begun and can still meet their objective come
-// first, by least slack, so that the work done for them is not lost. Then those
-// that have not begun, small ones first: the room that is left completes the
-// most jobs in time that way. Jobs that can no longer meet their objective come
-// last, so that a backlog does not make the following jobs late as well; they
-// are finished when demand falls. Long-running tasks come before all, since
-// each second that they are missing counts.
+// Order: designed for a queue whose demand exceeds its pool's capacity for some
+// seconds. Long-running jobs come first, since every second without one of
+// their tasks counts. Next come jobs that have begun and can still meet their
+// objective, by least slack, so that the work done for them is not lost. Jobs
+// that have not begun follow, small ones first: this completes the most jobs in
+// time with the resources that are left. Jobs that can no longer meet their
+// objective come last, so that a backlog does not make later jobs late as well;
+// they are finished when demand falls.
 //
-// Placement: the server with the smallest free share of cores among those that
-// fit, with penalties for distance from the data and for slowness. Tasks on few
-// servers leave others empty, which can be given up at once when demand falls,
-// and leave room for large tasks. Long-running tasks gather on the servers that
-// have some, for the same reason. A task that fits nowhere reserves the server
-// that comes nearest, so that smaller tasks do not starve it.
+// Placement: chooses the server with the smallest free share of cores among
+// those that the task fits on, with penalties for distance from the data and
+// for slowness. Packing tasks on few servers leaves others empty, which can be
+// given up at once when demand falls, and keeps resources free for large tasks.
+// Long-running tasks are packed on servers that already have some, for the same
+// reason. A task that fits nowhere reserves the server with the most free CPU
+// among those that could hold it, so that smaller tasks do not starve it.
 
 #ifndef RADISHMOOR_JOBS_PLACEMENT_H_
 #define RADISHMOOR_JOBS_PLACEMENT_H_
@@ -31,57 +32,62 @@
 namespace radishmoor {
 
 struct JobOrderInput {
-  uint32_t position = 0;  // Of the job in the caller's list.
-  uint32_t priority = 0;
+  uint32_t position = 0;  // Index of the job in the caller's list.
+  uint32_t priority = 0;  // Of the job's queue; 0 comes first.
   bool long_running = false;
   Time objective;
   Time arrived;
+  // Expected run time of the longest chain of steps that are not done.
   Duration remaining_chain{};
   bool begun = false;
-  double remaining_work = 0;  // Core-seconds of all tasks that are left.
+  double remaining_work = 0;  // Core-seconds of the tasks that are not done.
 
   bool CanMeetObjective(Time now) const {
     return now + remaining_chain <= objective;
   }
 };
 
-// Positions in the order of start. O(n log n).
+// Returns the positions of the jobs in the order in which they start.
+// O(n log n).
 std::vector<uint32_t> OrderJobs(Time now, std::span<const JobOrderInput> jobs);
 
 struct PlacementServer {
-  uint32_t position = 0;  // Of the server in the caller's list.
+  uint32_t position = 0;  // Index of the server in the caller's list.
   RackId rack;
   std::span<const std::string> labels;
   Resources capacity;
-  Resources room;
+  Resources free_resources;
+  // Ratio of observed to expected run times, relative to the pool's.
   double slowness = 1.0;
-  // Succeeded lately, and no suspicion stands against it.
+  // False if starts have failed there and none has succeeded lately.
   bool trusted = true;
-  uint32_t same_step = 0;  // Runs of the same step and occurrence.
-  // Runs with a tail limit, which tasks that use spare room would disturb.
+  uint32_t same_step_runs = 0;  // Runs of the same step and occurrence.
+  // Runs with a limit on their tail latency, which best-effort tasks disturb.
   uint32_t latency_sensitive_runs = 0;
   uint32_t best_effort_runs = 0;
-  uint32_t long_runs = 0;  // Of long-running steps.
-  bool reserved = false;
-  bool leaving_soon = false;  // Maintenance or a move comes soon.
-  bool failed_before = false;
+  uint32_t long_running_runs = 0;
+  bool reserved = false;      // Kept free for a task that fits nowhere now.
+  bool leaving_soon = false;  // Due for maintenance or a move.
+  bool task_failed_here = false;
 };
 
 struct PlacementTask {
   const StepSpec* step = nullptr;
-  // One more failure ends the job.
+  // True if one more failure fails the job.
   bool last_attempt = false;
-  // Racks that hold most of the step's other tasks, for colocated steps.
+  // Rack with most of the step's other runs, for colocated steps; may be empty.
   RackId preferred_rack;
+  // Run time away from the data, as a multiple of the run time next to it.
   double remote_data_slowdown = 1.0;
 };
 
-// Index into `servers` of the best server, or nothing if none fits. O(n).
+// Returns the index in `servers` of the best server for the task, or nothing if
+// it fits on none. O(n).
 std::optional<size_t> ChooseServer(const PlacementTask& task,
                                    std::span<const PlacementServer> servers);
 
-// The server, among those that would fit the task when empty, that has the most
-// room now. Nothing if no server could ever hold the task.
+// Returns the index in `servers` of the server with the most free CPU among
+// those that could hold the task when empty, or nothing if there is none. O(n).
 std::optional<size_t> ChooseReservation(
     const PlacementTask& task,
     std::span<const PlacementServer> servers);
--- a/radishmoor/jobs/placement_advice_cache.cc
+++ b/radishmoor/jobs/placement_advice_cache.cc
@@ -6,36 +6,39 @@
 namespace radishmoor {
 namespace {
 
-// The adviser takes at most 100 servers in a question; fewer are answered
-// sooner.
-constexpr size_t kMaxAsked = 30;
-// A start is stored and sent within this time of its plan.
-constexpr Duration kStartMargin = Milliseconds(300);
-constexpr Duration kAskAgain = Milliseconds(500);
+// The adviser accepts at most 100 servers in a request, and answers a request
+// with fewer servers sooner.
+constexpr size_t kMaxServersPerRequest = 30;
+// A ticket is used for a plan only while it stays valid for this long: the
+// start is stored and sent within this time.
+constexpr Duration kMinTicketValidity = Milliseconds(300);
+constexpr Duration kNextRequestDelay = Milliseconds(500);
 
 }  // namespace
 
-std::map<ServerId, std::string> PlacementAdviceCache::Tickets(
+std::map<ServerId, std::string> PlacementAdviceCache::GetOrRequestTickets(
     Time now,
     const TaskId& task,
     std::span<const ServerId> servers,
     Outbox& outbox) {
   StepKey key{task.job, task.occurrence, task.step};
-  Advice& advice = steps_[key];
-  if (!advice.tickets.empty() && now + kStartMargin < advice.valid_until)
+  StepAdvice& advice = steps_[key];
+  if (!advice.tickets.empty() && now + kMinTicketValidity < advice.valid_until)
     return advice.tickets;
-  if (advice.tag != 0 || now < advice.ask_after || servers.empty())
+  if (advice.request_tag != 0 || now < advice.next_request_at ||
+      servers.empty())
     return {};
-  PlacementAdviceRequest ask;
-  ask.job = task.job;
-  ask.occurrence = task.occurrence;
-  ask.step = task.step;
-  ask.servers.assign(servers.begin(),
-                     servers.begin() + static_cast<std::ptrdiff_t>(std::min(
-                                           servers.size(), kMaxAsked)));
+  PlacementAdviceRequest request;
+  request.job = task.job;
+  request.occurrence = task.occurrence;
+  request.step = task.step;
+  request.servers.assign(
+      servers.begin(),
+      servers.begin() + static_cast<std::ptrdiff_t>(
+                            std::min(servers.size(), kMaxServersPerRequest)));
   advice.tickets.clear();
-  advice.tag = outbox.RequestAdvice(std::move(ask));
-  asked_[advice.tag] = key;
+  advice.request_tag = outbox.RequestAdvice(std::move(request));
+  requested_steps_[advice.request_tag] = key;
   return {};
 }
 
@@ -56,21 +59,22 @@
 
 bool PlacementAdviceCache::OnReply(Time now,
                                    const PlacementAdviceReply& reply) {
-  auto asked = asked_.extract(reply.tag);
-  if (asked.empty())
+  auto requested = requested_steps_.extract(reply.tag);
+  if (requested.empty())
     return false;
-  auto step = steps_.find(asked.mapped());
+  auto step = steps_.find(requested.mapped());
   if (step == steps_.end())
     return true;
-  Advice& advice = step->second;
-  advice.tag = 0;
-  // A step without admitted servers is asked for again: others may have come.
-  advice.ask_after = now + kAskAgain;
+  StepAdvice& advice = step->second;
+  advice.request_tag = 0;
+  // A step for which no server was admitted is requested again, since other
+  // servers may have joined by then.
+  advice.next_request_at = now + kNextRequestDelay;
   if (!reply.answered)
     return true;
   advice.valid_until = now + reply.valid;
-  for (const AdmittedServer& admission : reply.admitted)
-    advice.tickets[admission.server] = admission.ticket;
+  for (const AdmittedServer& admitted : reply.admitted)
+    advice.tickets[admitted.server] = admitted.ticket;
   return true;
 }
 
--- a/radishmoor/jobs/placement_advice_cache.h
+++ b/radishmoor/jobs/placement_advice_cache.h
@@ -1,10 +1,11 @@
-// Which servers the placement adviser admits for the steps of queues that need
-// its advice, and the tickets that starts there have to carry.
+// Caches which servers the placement adviser admits for the steps of queues
+// that need its advice, and the tickets that starts on these servers have to
+// carry.
 //
-// Load that it answers: the adviser takes its time for each server that it is
-// asked about and one question of a process at a time, so a step is asked for
-// once, about as many servers as could run it, and asked for again only when
-// its tickets have run out.
+// The adviser's answer takes time for each server in the request, and it
+// handles one request of a process at a time. Each step is therefore requested
+// once, for all servers that could run it up to a limit, and requested again
+// only after its tickets have expired or no server was admitted.
 
 #ifndef RADISHMOOR_JOBS_PLACEMENT_ADVICE_CACHE_H_
 #define RADISHMOOR_JOBS_PLACEMENT_ADVICE_CACHE_H_
@@ -22,20 +23,21 @@
 
 class PlacementAdviceCache {
  public:
-  // The tickets of the step by server, as far as they are valid for a start
-  // now. Without any, asks for them about `servers`, unless an answer is
-  // awaited.
-  std::map<ServerId, std::string> Tickets(Time now,
-                                          const TaskId& task,
-                                          std::span<const ServerId> servers,
-                                          Outbox& outbox);
-  // The ticket for a start; empty if there is none.
+  // Returns the tickets of the task's step, by server, that are valid for a
+  // start now. If there are none, requests them for `servers`, unless a request
+  // is in flight or was answered a moment ago.
+  std::map<ServerId, std::string> GetOrRequestTickets(
+      Time now,
+      const TaskId& task,
+      std::span<const ServerId> servers,
+      Outbox& outbox);
+  // Returns the ticket for a start, or an empty string if there is none.
   std::string TicketFor(const TaskId& task, const ServerId& server) const;
-  // The server refused the ticket.
+  // Removes a ticket that the server refused.
   void Drop(const TaskId& task, const ServerId& server);
-  // True if the reply was meant for this pool.
+  // Returns true if the reply belongs to a request of this cache.
   bool OnReply(Time now, const PlacementAdviceReply& reply);
-  // The job has ended.
+  // Removes the tickets of a job that has ended.
   void Forget(const JobId& job);
 
  private:
@@ -45,15 +47,15 @@
     uint32_t step = 0;
     friend auto operator<=>(const StepKey&, const StepKey&) = default;
   };
-  struct Advice {
+  struct StepAdvice {
     std::map<ServerId, std::string> tickets;
     Time valid_until;
-    Time ask_after;
-    uint64_t tag = 0;
+    Time next_request_at;
+    uint64_t request_tag = 0;  // Of the request in flight; 0: none.
   };
 
-  std::map<StepKey, Advice> steps_;
-  std::map<uint64_t, StepKey> asked_;
+  std::map<StepKey, StepAdvice> steps_;
+  std::map<uint64_t, StepKey> requested_steps_;  // By request tag.
 };
 
 }  // namespace radishmoor
--- a/radishmoor/jobs/pool_scheduler.cc
+++ b/radishmoor/jobs/pool_scheduler.cc
@@ -6,38 +6,44 @@
 namespace radishmoor {
 namespace {
 
-constexpr uint32_t kLoadPage = 400;
-constexpr Duration kLoadRetry = Milliseconds(150);
-// Notices bring stored jobs at once; the inbox brings those whose notice was
-// lost.
+constexpr uint32_t kLoadPageRows = 400;
+constexpr Duration kLoadRetryDelay = Milliseconds(150);
+// Stored jobs arrive at once by a notice of the process that stored them. The
+// inbox is polled for those whose notice was lost.
 constexpr Duration kInboxPeriod = Milliseconds(1000);
-constexpr uint32_t kInboxPage = 200;
+constexpr uint32_t kInboxPageRows = 200;
 constexpr Duration kReviewPeriod = Milliseconds(150);
-// Without a listing, a server that answers stays in use this long: listings
-// that lapsed while the store was away come back within it.
-constexpr Duration kUnlistedGrace = Seconds(2);
-constexpr Duration kUnlistedContact = Milliseconds(1500);
-constexpr Duration kForgetServer = Seconds(30);
-// Without a renewal for this long nothing new is planned: it could not be
-// stored.
-constexpr Duration kPlanningLease = Seconds(3);
-// A new owner has polled all servers by then.
+// A server that answers stays in use for this long after it has disappeared
+// from the server list. Listings that expired while the store was unavailable
+// return within this time.
+constexpr Duration kUnlistedGracePeriod = Seconds(2);
+// An unlisted server counts as answering if its last answer is younger than
+// this.
+constexpr Duration kMaxUnlistedAnswerAge = Milliseconds(1500);
+constexpr Duration kForgetServerDelay = Seconds(30);
+// Nothing new is planned when the last lease renewal is older than this, since
+// the plan could probably not be stored.
+constexpr Duration kMaxRenewalAgeForPlanning = Seconds(3);
+// A new owner has polled all servers within this time.
 constexpr Duration kFirstPollGrace = Milliseconds(400);
-// A successor does not take the lease before it was unchanged for this long.
-constexpr Duration kAnsweringLease = Milliseconds(1000);
-// A request to empty a server holds this long.
+// The owner answers queries only while its last lease renewal is younger than
+// this. A successor does not acquire the lease before its row was unchanged for
+// this long.
+constexpr Duration kMaxRenewalAgeForAnswers = Milliseconds(1000);
+// A request to empty a server expires after this time unless it is repeated.
 constexpr Duration kVacateHold = Seconds(3);
-constexpr Duration kLoadLinePeriod = Seconds(1);
+constexpr Duration kPoolLoadLogPeriod = Seconds(1);
 constexpr Duration kPurgePeriod = Seconds(10);
-constexpr size_t kPurgeBatch = 20;
-// Named in an announcement.
-constexpr size_t kMaxSpareNamed = 64;
-// A pool is short of servers when it needs this share of their cores.
-constexpr double kShortShare = 0.8;
-// Without an answer for this long a server does not count as capacity.
-constexpr Duration kSilentServer = Milliseconds(800);
-// A submission time that another process wrote is believed up to this age.
-constexpr Duration kMaxBelievedAge = Seconds(60);
+constexpr size_t kPurgeBatchJobs = 20;
+constexpr size_t kMaxSpareServersInHeartbeat = 64;
+// A pool is short of servers when it needs more than this share of their cores.
+constexpr double kShortageDemandShare = 0.8;
+// A server whose polls fail counts as silent when its last answer is older
+// than this.
+constexpr Duration kSilentServerDelay = Milliseconds(800);
+// Ages computed from submission times are capped at this value, since another
+// process wrote the time by its own clock.
+constexpr Duration kMaxSubmissionAge = Seconds(60);
 
 JobAnswerState AnswerOf(JobState state) {
   return static_cast<JobAnswerState>(state);
@@ -58,7 +64,7 @@
   state_.token = options.token;
   chain_.set_renewed(options.lease_taken);
   OnConfig(config);
-  SendLoad(outbox);
+  SendLoadScan(outbox);
 }
 
 void PoolScheduler::OnConfig(const JobConfig& config) {
@@ -69,45 +75,43 @@
   plan_needed_ = true;
 }
 
-// Loading.
-
-void PoolScheduler::SendLoad(Outbox& outbox) {
+void PoolScheduler::SendLoadScan(Outbox& outbox) {
   ScanRows scan;
-  scan.limit = kLoadPage;
-  scan.after = load_.after;
-  scan.prefix = load_.stage == LoadStage::kProgress
-                    ? ProgressKey(state_.pool, JobId())
-                : load_.stage == LoadStage::kJobs ? JobKey(state_.pool, JobId())
-                                                  : InboxPrefix(state_.pool);
-  load_.tag = outbox.CallStore(std::move(scan));
-}
-
-void PoolScheduler::OnLoadAnswer(Time now,
-                                 WallMillis wall,
-                                 const StoreReply& reply,
-                                 Outbox& outbox) {
-  load_.tag = 0;
+  scan.limit = kLoadPageRows;
+  scan.after = loading_.last_key;
+  scan.prefix =
+      loading_.stage == LoadStage::kProgress ? ProgressKey(state_.pool, JobId())
+      : loading_.stage == LoadStage::kJobs   ? JobKey(state_.pool, JobId())
+                                             : InboxPrefix(state_.pool);
+  loading_.scan_tag = outbox.CallStore(std::move(scan));
+}
+
+void PoolScheduler::OnLoadScanAnswer(Time now,
+                                     WallMillis wall,
+                                     const StoreReply& reply,
+                                     Outbox& outbox) {
+  loading_.scan_tag = 0;
   const auto* rows = std::get_if<RowsReply>(&reply);
   if (rows == nullptr) {
-    load_.failed = true;
-    load_.retry_at = now + kLoadRetry;
-    Wake(load_.retry_at);
+    loading_.failed = true;
+    loading_.retry_at = now + kLoadRetryDelay;
+    Wake(loading_.retry_at);
     return;
   }
   for (const Row& row : rows->rows)
     LoadRow(now, wall, row, outbox);
   if (!rows->rows.empty())
-    load_.after = rows->rows.back().key;
+    loading_.last_key = rows->rows.back().key;
   if (!rows->rows.empty() && rows->more) {
-    SendLoad(outbox);
+    SendLoadScan(outbox);
     return;
   }
-  load_.after.clear();
-  load_.stage = static_cast<LoadStage>(static_cast<int>(load_.stage) + 1);
-  if (load_.stage == LoadStage::kDone)
+  loading_.last_key.clear();
+  loading_.stage = static_cast<LoadStage>(static_cast<int>(loading_.stage) + 1);
+  if (loading_.stage == LoadStage::kDone)
     FinishLoading(now, outbox);
   else
-    SendLoad(outbox);
+    SendLoadScan(outbox);
 }
 
 void PoolScheduler::LoadRow(Time now,
@@ -115,10 +119,10 @@
                             const Row& row,
                             Outbox& outbox) {
   JobId id{LastKeyPart(row.key)};
-  switch (load_.stage) {
+  switch (loading_.stage) {
     case LoadStage::kProgress:
       if (std::optional<StoredProgress> progress = DecodeProgress(row.value)) {
-        load_.progress[id] = std::move(*progress);
+        loading_.progress[id] = std::move(*progress);
       } else {
         ++state_.counters.unreadable_rows;
         outbox.LogDecision("row-unreadable", {{"key", row.key}});
@@ -140,10 +144,10 @@
                             const Row& row,
                             Outbox& outbox) {
   JobId id{LastKeyPart(row.key)};
-  auto stored = load_.progress.find(id);
+  auto stored = loading_.progress.find(id);
   if (row.value == kEndedJobTombstone) {
-    JobState state = stored == load_.progress.end() ? JobState::kCompleted
-                                                    : stored->second.state;
+    JobState state = stored == loading_.progress.end() ? JobState::kCompleted
+                                                       : stored->second.state;
     state_.jobs.AddEnded(id, state, now);
     return;
   }
@@ -154,9 +158,9 @@
     return;
   }
   Duration age = std::clamp(Milliseconds(wall - spec->submitted_at),
-                            Duration::zero(), kMaxBelievedAge);
-  TakeUp(now, id, *spec, age, outbox);
-  if (stored == load_.progress.end())
+                            Duration::zero(), kMaxSubmissionAge);
+  AcceptJob(now, id, *spec, age, outbox);
+  if (stored == loading_.progress.end())
     return;
   Job& job = *state_.jobs.Find(id);
   state_.jobs.Restore(job, stored->second, now);
@@ -186,14 +190,12 @@
        {"open", static_cast<int64_t>(state_.jobs.open().size())},
        {"inherited_runs", static_cast<int64_t>(inherited)},
        {"took_ms", WholeMilliseconds(now - options_.lease_taken)}});
-  load_.progress.clear();
+  loading_.progress.clear();
   runs_.Wake(now);
-  next_inbox_ = now + kInboxPeriod;
+  next_inbox_poll_at_ = now + kInboxPeriod;
   plan_needed_ = true;
 }
 
-// Jobs.
-
 Time PoolScheduler::ObjectiveOf(const JobSpec& spec, Time arrived) const {
   auto it = state_.queues.find(spec.queue);
   double slack = it == state_.queues.end() ? 1.0 : it->second.slack_factor;
@@ -206,21 +208,21 @@
              static_cast<int64_t>(slack * static_cast<double>(chain.count())));
 }
 
-void PoolScheduler::TakeUp(Time now,
-                           const JobId& id,
-                           const JobSpec& spec,
-                           Duration age,
-                           Outbox& outbox) {
+void PoolScheduler::AcceptJob(Time now,
+                              const JobId& id,
+                              const JobSpec& spec,
+                              Duration age,
+                              Outbox& outbox) {
   if (state_.jobs.Find(id) != nullptr)
     return;
   Time arrived = now - age;
   Job& job = state_.jobs.Add(id, spec, arrived, ObjectiveOf(spec, arrived));
   if (spec.scheduled())
-    scheduled_.insert(id);
+    scheduled_jobs_.insert(id);
   plan_needed_ = true;
-  // Jobs of an earlier owner have shown their load before.
+  // Jobs that are loaded from an earlier owner are no new arrivals.
   if (loaded() && !spec.scheduled() && !spec.long_running())
-    offered_.Add(now, dispatch_.TotalWork(job));
+    offered_load_.Add(now, dispatch_.TotalWork(job));
   outbox.LogDecision(
       "job-taken-up",
       {{"job", id.str()},
@@ -242,7 +244,7 @@
     return;
   }
   if (state_.jobs.Find(notice.job) == nullptr) {
-    TakeUp(now, notice.job, notice.spec, notice.age, outbox);
+    AcceptJob(now, notice.job, notice.spec, notice.age, outbox);
     Job& job = *state_.jobs.Find(notice.job);
     if (store) {
       job.definition_stored = false;
@@ -275,8 +277,9 @@
                                const JobQuery& query,
                                Outbox& outbox) {
   JobAnswer answer{query.request, JobAnswerState::kUnknown};
-  // Without a recent renewal another process may know better.
-  bool current = loaded() && renewed_age(now) < kAnsweringLease;
+  // Without a recent lease renewal, another process may own the pool by now and
+  // have changed the job's state.
+  bool current = loaded() && renewed_age(now) < kMaxRenewalAgeForAnswers;
   const Job* job = current ? state_.jobs.Find(query.job) : nullptr;
   if (job != nullptr && query.cancel && !IsFinal(job->reported_state)) {
     Cancel(now, query.job, outbox);
@@ -311,15 +314,15 @@
 }
 
 void PoolScheduler::PollInbox(Time now, Outbox& outbox) {
-  if (inbox_tag_ != 0)
+  if (inbox_scan_tag_ != 0)
     return;
-  if (now < next_inbox_) {
-    Wake(next_inbox_);
+  if (now < next_inbox_poll_at_) {
+    Wake(next_inbox_poll_at_);
     return;
   }
-  next_inbox_ = now + kInboxPeriod;
-  inbox_tag_ =
-      outbox.CallStore(ScanRows{InboxPrefix(state_.pool), "", kInboxPage});
+  next_inbox_poll_at_ = now + kInboxPeriod;
+  inbox_scan_tag_ =
+      outbox.CallStore(ScanRows{InboxPrefix(state_.pool), "", kInboxPageRows});
 }
 
 void PoolScheduler::OnInboxRow(Time now, const Row& row, Outbox& outbox) {
@@ -333,25 +336,25 @@
   const Job* job = state_.jobs.Find(id);
   bool known = job != nullptr;
   if (name[0] == kInboxCancelled && known) {
-    // The mark goes once the end of the job is stored; until then a successor
-    // needs it.
+    // The cancellation stays in the inbox until the end of the job is stored:
+    // until then a successor needs it.
     if (IsFinal(job->reported_state))
       RemoveRow(row.key);
     else
       Cancel(now, id, outbox);
   } else if (known) {
     RemoveRow(row.key);
-  } else if (reading_.insert(id).second) {
+  } else if (jobs_being_read_.insert(id).second) {
     uint64_t tag = outbox.CallStore(ReadRows{{JobKey(state_.pool, id)}});
-    job_reads_[tag] = id;
+    definition_reads_[tag] = id;
   }
 }
 
 void PoolScheduler::UpdateScheduled(Time now, WallMillis wall) {
-  for (auto it = scheduled_.begin(); it != scheduled_.end();) {
+  for (auto it = scheduled_jobs_.begin(); it != scheduled_jobs_.end();) {
     Job* job = state_.jobs.Find(*it);
     if (job == nullptr || IsFinal(job->state)) {
-      it = scheduled_.erase(it);
+      it = scheduled_jobs_.erase(it);
       continue;
     }
     size_t before = job->occurrences.size();
@@ -364,20 +367,18 @@
   }
 }
 
-// Servers.
-
 void PoolScheduler::OnServers(Time now,
                               std::span<const ServerListing> listings,
                               Outbox& outbox) {
-  std::set<ServerId> seen;
+  std::set<ServerId> listed_ids;
   for (const ServerListing& listing : listings) {
     if (listing.pool != state_.pool &&
         state_.servers.Find(listing.id) == nullptr)
       continue;
-    seen.insert(listing.id);
+    listed_ids.insert(listing.id);
     ServerState& server = state_.servers.Ensure(listing.id);
     bool joined = !server.listed;
-    bool drains = listing.draining && !server.listing.draining;
+    bool starts_draining = listing.draining && !server.listing.draining;
     server.listing = listing;
     server.listed = true;
     if (joined) {
@@ -387,7 +388,7 @@
                           {"pool", listing.pool.str()},
                           {"cpu", listing.capacity.cpu_millis}});
     }
-    if (drains)
+    if (starts_draining)
       outbox.LogDecision(
           "server-draining",
           {{"server", listing.id.str()},
@@ -398,21 +399,21 @@
   }
   std::vector<ServerId> forgotten;
   for (auto& [id, server] : state_.servers.all()) {
-    if (seen.contains(id)) {
+    if (listed_ids.contains(id)) {
       server.unlisted_since = kTimeMax;
       continue;
     }
     if (server.unlisted_since == kTimeMax)
       server.unlisted_since = now;
     bool answers = server.last_answer_at &&
-                   now - *server.last_answer_at < kUnlistedContact;
+                   now - *server.last_answer_at < kMaxUnlistedAnswerAge;
     if (server.listed &&
-        (!answers || now - server.unlisted_since > kUnlistedGrace)) {
+        (!answers || now - server.unlisted_since > kUnlistedGracePeriod)) {
       server.listed = false;
       outbox.LogDecision("server-left", {{"server", id.str()}});
     }
     if (!server.listed && server.runs.empty() &&
-        now - server.unlisted_since > kForgetServer)
+        now - server.unlisted_since > kForgetServerDelay)
       forgotten.push_back(id);
   }
   for (const ServerId& id : forgotten)
@@ -438,13 +439,15 @@
                             Time sent,
                             std::span<const HostListing> hosts,
                             Outbox& outbox) {
-  std::set<ServerId> alive;
+  std::set<ServerId> existing;
   for (const HostListing& host : hosts)
-    alive.insert(host.server);
+    existing.insert(host.server);
   for (auto& [id, server] : state_.servers.all()) {
     bool silent = server.failed_polls > 0 || !server.last_answer_at;
-    bool heard_later = server.last_answer_at && *server.last_answer_at >= sent;
-    if (!server.runs.empty() && silent && !heard_later && !alive.contains(id))
+    bool answered_since =
+        server.last_answer_at && *server.last_answer_at >= sent;
+    if (!server.runs.empty() && silent && !answered_since &&
+        !existing.contains(id))
       runs_.OnServerDead(now, server, outbox);
   }
   plan_needed_ = true;
@@ -495,8 +498,6 @@
   outbox.SendToPeer(from, address, answer);
 }
 
-// Answers and time.
-
 bool PoolScheduler::OnStoreAnswer(Time now,
                                   WallMillis wall,
                                   const StoreAnswer& answer,
@@ -509,48 +510,49 @@
     AnswerWaiters(outbox);
     return true;
   }
-  if (load_.tag != 0 && answer.tag == load_.tag) {
-    OnLoadAnswer(now, wall, answer.reply, outbox);
+  if (loading_.scan_tag != 0 && answer.tag == loading_.scan_tag) {
+    OnLoadScanAnswer(now, wall, answer.reply, outbox);
     return true;
   }
-  if (inbox_tag_ != 0 && answer.tag == inbox_tag_) {
-    inbox_tag_ = 0;
+  if (inbox_scan_tag_ != 0 && answer.tag == inbox_scan_tag_) {
+    inbox_scan_tag_ = 0;
     if (const auto* rows = std::get_if<RowsReply>(&answer.reply)) {
       for (const Row& row : rows->rows)
         OnInboxRow(now, row, outbox);
     }
     return true;
   }
-  auto read = job_reads_.extract(answer.tag);
+  auto read = definition_reads_.extract(answer.tag);
   if (read.empty())
     return false;
   const JobId& id = read.mapped();
-  reading_.erase(id);
+  jobs_being_read_.erase(id);
   const auto* rows = std::get_if<RowsReply>(&answer.reply);
   if (rows == nullptr || rows->rows.empty())
-    return true;  // The next poll of the inbox tries again.
+    return true;  // The read is repeated at the next poll of the inbox.
   const Row& row = rows->rows.front();
   if (row.version == 0) {
-    // A cancellation of a job that is not stored: nothing to cancel.
+    // The cancellation names a job that is not stored, so there is nothing to
+    // cancel.
     RemoveRow(InboxKey(state_.pool, kInboxCancelled, id));
   } else if (row.value == kEndedJobTombstone) {
     RemoveRow(InboxKey(state_.pool, kInboxCancelled, id));
     RemoveRow(InboxKey(state_.pool, kInboxSubmitted, id));
   } else {
     LoadJob(now, wall, row, outbox);
-    next_inbox_ = now;
+    next_inbox_poll_at_ = now;
   }
   return true;
 }
 
 void PoolScheduler::Tick(Time now, WallMillis wall, Outbox& outbox) {
   next_wake_ = kTimeMax;
-  if (load_.failed && now >= load_.retry_at) {
-    load_.failed = false;
-    SendLoad(outbox);
+  if (loading_.failed && now >= loading_.retry_at) {
+    loading_.failed = false;
+    SendLoadScan(outbox);
   }
-  if (load_.failed)
-    Wake(load_.retry_at);
+  if (loading_.failed)
+    Wake(loading_.retry_at);
   if (!loaded() || lost()) {
     chain_.Tick(now, outbox);
     Wake(chain_.next_wake());
@@ -561,34 +563,35 @@
              outbox);
   PollInbox(now, outbox);
   UpdateScheduled(now, wall);
-  if (may_order && renewed_age(now) < kPlanningLease) {
-    if (now - last_review_ >= kReviewPeriod) {
-      last_review_ = now;
+  if (may_order && renewed_age(now) < kMaxRenewalAgeForPlanning) {
+    if (now - last_reviewed_at_ >= kReviewPeriod) {
+      last_reviewed_at_ = now;
       for (auto& [id, server] : state_.servers.all()) {
-        // One that went silent while it was emptied has moved away.
+        // A server that stopped answering while it was emptied has moved away,
+        // so it stays marked.
         if (server.vacating && server.failed_polls == 0 &&
             now - server.vacate_requested_at > kVacateHold)
           server.vacating = false;
       }
-      dispatch_.Review(now, outbox);
-      LogLoad(now, outbox);
+      dispatch_.ReviewRunningTasks(now, outbox);
+      LogPoolLoad(now, outbox);
       plan_needed_ = true;
     }
-    // A plan takes effect with the commit that stores it, so it is made just
-    // before one can be sent.
+    // A plan takes effect only with the commit that stores it, so it is made
+    // just before the next commit can be sent.
     if (plan_needed_ && now >= chain_.ready_at()) {
       plan_needed_ = false;
-      dispatch_.Plan(now, outbox);
+      dispatch_.PlanReadyTasks(now, outbox);
     }
     if (plan_needed_)
       Wake(chain_.ready_at());
     if (!state_.jobs.open().empty())
-      Wake(last_review_ + kReviewPeriod);
+      Wake(last_reviewed_at_ + kReviewPeriod);
   }
-  if (now - last_purge_ > kPurgePeriod) {
-    last_purge_ = now;
-    Time before = now - state_.bounds.status_retention - kMaxBelievedAge;
-    for (const JobId& job : state_.jobs.Purge(before, kPurgeBatch)) {
+  if (now - last_purged_at_ > kPurgePeriod) {
+    last_purged_at_ = now;
+    Time before = now - state_.bounds.status_retention - kMaxSubmissionAge;
+    for (const JobId& job : state_.jobs.Purge(before, kPurgeBatchJobs)) {
       RemoveRow(JobKey(state_.pool, job));
       RemoveRow(ProgressKey(state_.pool, job));
     }
@@ -598,10 +601,10 @@
   Wake(runs_.next_wake());
 }
 
-void PoolScheduler::LogLoad(Time now, Outbox& outbox) {
-  if (now < next_load_line_)
+void PoolScheduler::LogPoolLoad(Time now, Outbox& outbox) {
+  if (now < next_pool_load_log_)
     return;
-  next_load_line_ = now + kLoadLinePeriod;
+  next_pool_load_log_ = now + kPoolLoadLogPeriod;
   int64_t servers = 0;
   int64_t answering = 0;
   int64_t vacating = 0;
@@ -624,8 +627,8 @@
        {"emptying", vacating},
        {"used_cpu", used.cpu_millis},
        {"capacity_cpu", capacity.cpu_millis},
-       {"demand_cpu", dispatch_.demand_cpu()},
-       {"offered_cpu", static_cast<int64_t>(offered_.Cores(now) * 1000)},
+       {"demand_cpu", dispatch_.demand_cpu_millis()},
+       {"offered_cpu", static_cast<int64_t>(offered_load_.Cores(now) * 1000)},
        {"open_jobs", static_cast<int64_t>(state_.jobs.open().size())},
        {"wait_ms", WholeMilliseconds(dispatch_.expected_wait())},
        {"starts", static_cast<int64_t>(state_.counters.starts)},
@@ -652,22 +655,23 @@
       ++pending[job->spec.queue];
   }
   for (const auto& [id, queue] : state_.queues) {
-    // Before the jobs are loaded nothing is known of the queues.
+    // The lengths of the queues are unknown until the jobs are loaded.
     if (loaded() && queue.pool == state_.pool)
       heartbeat.queues.push_back({id, pending[id], dispatch_.expected_wait()});
   }
-  heartbeat.demand_cores = static_cast<double>(dispatch_.demand_cpu()) / 1000;
-  heartbeat.offered_cores = offered_.Cores(now);
-  DescribeServers(now, heartbeat);
+  heartbeat.demand_cores =
+      static_cast<double>(dispatch_.demand_cpu_millis()) / 1000;
+  heartbeat.offered_cores = offered_load_.Cores(now);
+  AddServersToHeartbeat(now, heartbeat);
   return heartbeat;
 }
 
 double PoolScheduler::needed_cores(Time now) const {
-  return std::max(static_cast<double>(dispatch_.demand_cpu()) / 1000,
-                  offered_.Cores(now));
+  return std::max(static_cast<double>(dispatch_.demand_cpu_millis()) / 1000,
+                  offered_load_.Cores(now));
 }
 
-int64_t PoolScheduler::CapacityCpu() const {
+int64_t PoolScheduler::CapacityCpuMillis() const {
   int64_t capacity = 0;
   for (const auto& [id, server] : state_.servers.all()) {
     if (server.Serves(state_.pool))
@@ -677,22 +681,25 @@
 }
 
 bool PoolScheduler::expects_servers(Time now) const {
-  return loaded() && needed_cores(now) * 1000 >
-                         kShortShare * static_cast<double>(CapacityCpu());
+  return loaded() &&
+         needed_cores(now) * 1000 >
+             kShortageDemandShare * static_cast<double>(CapacityCpuMillis());
 }
 
-void PoolScheduler::DescribeServers(Time now, OwnerHeartbeat& heartbeat) const {
-  std::vector<std::pair<int64_t, ServerId>> spare;
-  std::map<ZoneId, int> silence;  // Silent servers less answering ones.
+void PoolScheduler::AddServersToHeartbeat(Time now,
+                                          OwnerHeartbeat& heartbeat) const {
+  std::vector<std::pair<int64_t, ServerId>> spare;  // With their used CPU.
+  // Number of silent servers minus number of answering ones.
+  std::map<ZoneId, int> silence_balance;
   for (const auto& [id, server] : state_.servers.all()) {
     if (!server.Serves(state_.pool))
       continue;
     ++heartbeat.servers;
     bool silent = server.failed_polls > 0 && server.last_answer_at &&
-                  now - *server.last_answer_at > kSilentServer &&
+                  now - *server.last_answer_at > kSilentServerDelay &&
                   !server.vacating;
     heartbeat.silent_servers += silent ? 1 : 0;
-    silence[server.listing.zone] += silent ? 1 : -1;
+    silence_balance[server.listing.zone] += silent ? 1 : -1;
     heartbeat.capacity_cores +=
         static_cast<double>(server.listing.capacity.cpu_millis) / 1000;
     bool long_running = std::any_of(
@@ -703,12 +710,12 @@
     if (!long_running && !server.vacating)
       spare.emplace_back(server.used.cpu_millis, id);
   }
-  for (const auto& [zone, balance] : silence) {
+  for (const auto& [zone, balance] : silence_balance) {
     if (balance > 0)
       heartbeat.silent_zones.push_back(zone);
   }
   std::sort(spare.begin(), spare.end());
-  for (size_t i = 0; i < spare.size() && i < kMaxSpareNamed; ++i)
+  for (size_t i = 0; i < spare.size() && i < kMaxSpareServersInHeartbeat; ++i)
     heartbeat.spare_servers.push_back(spare[i].second);
   for (const JobId& id : state_.jobs.open()) {
     const Job* job = state_.jobs.Find(id);
--- a/radishmoor/jobs/pool_scheduler.h
+++ b/radishmoor/jobs/pool_scheduler.h
@@ -1,17 +1,21 @@
-// Owns the jobs of one pool: takes them up, starts their tasks on the pool's
-// backend servers, follows them to their end and stores what must survive this
-// process.
+// Runs the jobs of one pool on behalf of the pool's owner: accepts jobs, starts
+// their tasks on the pool's backend servers, tracks the runs until they end,
+// and stores the state that must survive this process.
 //
-//   PoolScheduler scheduler(options, outbox);   // After the lease was taken.
+//   // After this process has acquired the pool's lease:
+//   PoolScheduler scheduler(options, config, outbox);
 //   scheduler.OnServers(now, listings, outbox);
 //   scheduler.OnStoreAnswer(now, wall, answer, outbox);
 //   scheduler.Tick(now, wall, outbox);
 //
 // Guarantees: a task runs once at a time and never after its success was
-// stored; a start goes out only after it was stored under this owner's lease;
-// the room of a server is never exceeded; what a caller is shown is stored.
+// stored; a start is sent only after it was stored under this owner's lease;
+// the runs on a server never exceed its capacity; every job state that a caller
+// is shown is stored.
 //
-// Sans-I/O. One step costs O(open jobs and their tasks).
+// The class does no I/O: it puts requests and messages into an Outbox and
+// receives the answers through the On...() functions. A call costs
+// O(open jobs and their tasks).
 
 #ifndef RADISHMOOR_JOBS_POOL_SCHEDULER_H_
 #define RADISHMOOR_JOBS_POOL_SCHEDULER_H_
@@ -36,11 +40,14 @@
   MemberId node;
   std::string address;
   PlatformBounds bounds;
-  // Of the lease that was taken.
+  // The pool's lease as this process acquired it: its fencing token, the
+  // version of its row, and the time at which the acquiring transaction was
+  // sent.
   FencingToken token = 0;
   RowVersion lease_version = 0;
   Time lease_taken;
-  // Leases that earlier owners gave have lapsed by then.
+  // All leases that earlier owners of the pool gave to backend servers have
+  // expired by this time.
   Time earlier_leases_until;
 };
 
@@ -51,17 +58,19 @@
                 Outbox& outbox);
 
   void OnConfig(const JobConfig& config);
-  // The platform's list of hosts, asked for at `sent`.
+  // Handles the platform's list of hosts, which was requested at `sent`. Ends
+  // the runs on servers that do not answer and are missing from the list.
   void OnHosts(Time now,
                Time sent,
                std::span<const HostListing> hosts,
                Outbox& outbox);
-  // A server with runs does not answer; the list of hosts may tell why.
+  // True if a server with runs does not answer. The platform's list of hosts
+  // shows whether the server still exists.
   bool wants_hosts(Time now) const;
   void OnServers(Time now,
                  std::span<const ServerListing> listings,
                  Outbox& outbox);
-  // True if the answer was meant for this pool.
+  // These three return true if the answer belongs to a request of this pool.
   bool OnStoreAnswer(Time now,
                      WallMillis wall,
                      const StoreAnswer& answer,
@@ -88,65 +97,75 @@
   void Tick(Time now, WallMillis wall, Outbox& outbox);
   Time next_wake() const { return next_wake_; }
 
-  // Gives the lease up as soon as what is known is stored.
+  // Gives the lease up with the next commit, in favor of `successor`.
   void Release(const MemberId& successor);
   bool released() const { return chain_.released(); }
-  // Another process owns the pool: this object must be dropped.
+  // True if another process owns the pool; the caller must then destroy this
+  // object.
   bool lost() const { return chain_.lost() || state_.fenced; }
-  // The process was suspended: leases are not extended before a commit has
-  // shown that the pool is still owned.
+  // Tells the scheduler that the process was suspended. Leases of servers are
+  // not extended again before a commit has shown that this process still owns
+  // the pool.
   void Resumed();
 
   OwnerHeartbeat MakeHeartbeat(Time now) const;
-  // Cores that running, ready and arriving tasks need.
+  // Cores that the pool needs: those of running and ready tasks, or those that
+  // the arriving jobs keep busy if that is more.
   double needed_cores(Time now) const;
-  // Its servers do not suffice, so more may be on their way.
+  // True if the pool needs most of the cores of its servers or more, so that
+  // new servers may be on their way.
   bool expects_servers(Time now) const;
-  bool loaded() const { return load_.stage == LoadStage::kDone; }
+  bool loaded() const { return loading_.stage == LoadStage::kDone; }
   const JobPoolState& state() const { return state_; }
   FencingToken token() const { return state_.token; }
+  // Time since the last stored renewal of the pool's lease was sent.
   Duration renewed_age(Time now) const { return now - chain_.renewed(); }
 
  private:
+  // The rows of the pool are read in this order.
   enum class LoadStage : uint8_t { kProgress, kJobs, kInbox, kDone };
-  struct Load {
+  struct Loading {
     LoadStage stage = LoadStage::kProgress;
-    uint64_t tag = 0;
-    std::string after;
+    uint64_t scan_tag = 0;  // Of the scan in flight; 0: none.
+    std::string last_key;   // The next scan starts after this key.
     std::map<JobId, StoredProgress> progress;
     Time retry_at;
     bool failed = false;
   };
+  // A process that waits for the answer to its submission or cancellation.
   struct Waiter {
     MemberId node;
     std::string address;
     uint64_t request = 0;
   };
 
-  void SendLoad(Outbox& outbox);
-  void OnLoadAnswer(Time now,
-                    WallMillis wall,
-                    const StoreReply& reply,
-                    Outbox& outbox);
+  void SendLoadScan(Outbox& outbox);
+  void OnLoadScanAnswer(Time now,
+                        WallMillis wall,
+                        const StoreReply& reply,
+                        Outbox& outbox);
   void LoadRow(Time now, WallMillis wall, const Row& row, Outbox& outbox);
   void LoadJob(Time now, WallMillis wall, const Row& row, Outbox& outbox);
   void FinishLoading(Time now, Outbox& outbox);
 
   void PollInbox(Time now, Outbox& outbox);
   void OnInboxRow(Time now, const Row& row, Outbox& outbox);
-  void TakeUp(Time now,
-              const JobId& id,
-              const JobSpec& spec,
-              Duration age,
-              Outbox& outbox);
+  void AcceptJob(Time now,
+                 const JobId& id,
+                 const JobSpec& spec,
+                 Duration age,
+                 Outbox& outbox);
   bool Cancel(Time now, const JobId& id, Outbox& outbox);
   void AnswerWaiters(Outbox& outbox);
-  // One line each second on how full the pool is.
-  void LogLoad(Time now, Outbox& outbox);
-  // Servers that long-running tasks need, those without any, and silent ones.
-  void DescribeServers(Time now, OwnerHeartbeat& heartbeat) const;
-  int64_t CapacityCpu() const;
+  // Logs the demand and the use of the pool once per kPoolLoadLogPeriod.
+  void LogPoolLoad(Time now, Outbox& outbox);
+  // Fills in the heartbeat's figures on servers: how many there are and how
+  // many of them are silent, their capacity, those that can be emptied soon,
+  // and the number that long-running steps need.
+  void AddServersToHeartbeat(Time now, OwnerHeartbeat& heartbeat) const;
+  int64_t CapacityCpuMillis() const;
   Time ObjectiveOf(const JobSpec& spec, Time arrived) const;
+  // Creates the occurrences of scheduled jobs that are due.
   void UpdateScheduled(Time now, WallMillis wall);
   void RemoveRow(const std::string& key) { chain_.Write({key, "", true}); }
   void Wake(Time at) { next_wake_ = std::min(next_wake_, at); }
@@ -156,20 +175,22 @@
   RunControl runs_;
   TaskDispatch dispatch_;
   CommitChain chain_;
-  OfferedLoad offered_;
-  Load load_;
-
-  uint64_t inbox_tag_ = 0;
-  Time next_inbox_;
-  std::map<uint64_t, JobId> job_reads_;  // Definitions that are being read.
-  std::set<JobId> reading_;
-  std::map<JobId, std::vector<Waiter>> submit_waiters_;  // For its storing.
+  OfferedLoad offered_load_;
+  Loading loading_;
+
+  uint64_t inbox_scan_tag_ = 0;  // Of the scan in flight; 0: none.
+  Time next_inbox_poll_at_;
+  std::map<uint64_t, JobId> definition_reads_;  // By tag of the read in flight.
+  std::set<JobId> jobs_being_read_;
+  // Answered once the job's definition is stored.
+  std::map<JobId, std::vector<Waiter>> submit_waiters_;
+  // Answered once the job's final state is stored.
   std::map<JobId, std::vector<Waiter>> cancel_waiters_;
-  std::set<JobId> scheduled_;  // Jobs with times.
+  std::set<JobId> scheduled_jobs_;  // Jobs with occurrences at set times.
   bool plan_needed_ = false;
-  Time last_review_;
-  Time next_load_line_;
-  Time last_purge_;
+  Time last_reviewed_at_;
+  Time next_pool_load_log_;
+  Time last_purged_at_;
   Time next_wake_ = kTimeMax;
 };
 
--- a/radishmoor/jobs/task_dispatch.cc
+++ b/radishmoor/jobs/task_dispatch.cc
@@ -10,43 +10,50 @@
 namespace radishmoor {
 namespace {
 
-// A server is used while its last answer is at most this old.
-constexpr Duration kMaxContactAge = Milliseconds(2500);
-// Servers that are held free for tasks that fit nowhere, at once.
+// Runs are planned only on servers whose last answer is at most this old.
+constexpr Duration kMaxAnswerAge = Milliseconds(2500);
+// Maximum number of servers that are kept free at the same time for tasks that
+// fit nowhere.
 constexpr uint32_t kMaxReservations = 2;
-// A run whose progress stands still this long does not go on.
-constexpr Duration kStandstill = Milliseconds(1500);
-// A run is moved only if that is expected to bring its end forward by this
-// factor, and its server is at least this slow.
-constexpr double kRelocationGain = 2.0;
-constexpr double kSlowServer = 2.0;
-// A task that was moved so often stays where it is: it may be long itself, and
-// servers are emptied again and again.
+// A run whose progress has not changed for this long has stalled.
+constexpr Duration kStallTimeout = Milliseconds(1500);
+// A run is moved off a slow server only if its remaining time there is more
+// than this many times the expected one after a move, and if the slowness of
+// the server is above the minimum.
+constexpr double kMinRelocationGain = 2.0;
+constexpr double kMinRelocationSlowness = 2.0;
+// A task is moved at most this often off servers that are slow or being
+// emptied: the task itself may be long, and one server after the other may be
+// emptied.
 constexpr uint32_t kMaxRelocations = 2;
+// Delay that a move adds to the run time.
 constexpr Duration kRestartCost = Milliseconds(250);
-constexpr Duration kStandstillHoldBack = Seconds(3);
-// A copy of a straggler starts when a run has taken this many times as long as
-// expected.
-constexpr double kStraggler = 1.8;
+// No starts on a server for this long after a run has stalled there.
+constexpr Duration kStallQuarantine = Seconds(3);
+// A run is a straggler, of which a speculative copy may start, when it has
+// taken this many times as long as expected.
+constexpr double kStragglerRatio = 1.8;
 constexpr Duration kMinStragglerAge = Milliseconds(500);
-// An emptying server's tasks are stopped after this time, and those with
-// checkpoints at once when they need longer than the first one.
-constexpr Duration kEmptyPatience = Milliseconds(5000);
-constexpr Duration kCheckpointPatience = Milliseconds(800);
-// Successes this recent speak for a server.
-constexpr Duration kTrustAge = Seconds(10);
-// A run that takes this many times as long as expected counts against its
-// server before its end.
-constexpr double kSlowRun = 2.0;
+// The runs on a server that is being emptied are stopped after this time.
+constexpr Duration kVacateTimeout = Milliseconds(5000);
+// A run with checkpoints on a server that leaves is stopped at once if its
+// remaining time is longer than this.
+constexpr Duration kMaxCheckpointedRemainder = Milliseconds(800);
+// A server with failures is trusted while its last success is at most this old.
+constexpr Duration kMaxTrustedSuccessAge = Seconds(10);
+// A run that takes at least kSlowRunRatio times as long as expected raises the
+// slowness of its server before it ends. The slowness is multiplied by
+// (ratio / slowness) to the power of kSlowRunWeight.
+constexpr double kSlowRunRatio = 2.0;
 constexpr double kSlowRunWeight = 0.3;
-constexpr double kMaxSlowRatio = 6.0;
-// The progress of so many tasks of a step, on other servers, tells how long a
-// task of it takes.
-constexpr size_t kTellingSiblings = 2;
-constexpr uint32_t kTellingPercent = 10;
-// Between changes of pace on a server: the change and the tail that follows it
-// take about this long to show.
-constexpr Duration kPacePeriod = Milliseconds(350);
+constexpr double kMaxSlowRunRatio = 6.0;  // Larger ratios count as this one.
+// The run time of a step is projected from the progress of its tasks only if at
+// least this many of them, on other servers, have made this much progress.
+constexpr size_t kMinMeasuredSiblings = 2;
+constexpr uint32_t kMinSiblingPercent = 10;
+// Minimum time between changes of pace on a server. A change and its effect on
+// the tail latency take about this long to show.
+constexpr Duration kMinPaceChangeInterval = Milliseconds(350);
 
 }  // namespace
 
@@ -56,7 +63,7 @@
   for (auto& [id, server] : state_.servers.all()) {
     bool usable = server.Serves(state_.pool) && !server.vacating &&
                   server.last_answer_at &&
-                  now - *server.last_answer_at <= kMaxContactAge &&
+                  now - *server.last_answer_at <= kMaxAnswerAge &&
                   server.failed_polls == 0 && now >= server.quarantined_until;
     if (!usable)
       continue;
@@ -66,10 +73,10 @@
     s.rack = server.listing.rack;
     s.labels = server.listing.labels;
     s.capacity = server.listing.capacity;
-    s.room = server.Room();
+    s.free_resources = server.Room();
     s.slowness = server.slowness;
-    s.trusted =
-        server.failure_score < 1 || now - server.last_success <= kTrustAge;
+    s.trusted = server.failure_score < 1 ||
+                now - server.last_success <= kMaxTrustedSuccessAge;
     for (const RunRef& ref : server.runs) {
       const Job* job = state_.jobs.Find(ref.task.job);
       if (job == nullptr || ref.task.step >= job->spec.steps.size())
@@ -77,7 +84,7 @@
       const StepSpec& step = job->spec.steps[ref.task.step];
       s.latency_sensitive_runs += step.tail_limit > Duration::zero() ? 1 : 0;
       s.best_effort_runs += step.best_effort ? 1 : 0;
-      s.long_runs += step.long_running ? 1 : 0;
+      s.long_running_runs += step.long_running ? 1 : 0;
     }
     servers.push_back(std::move(s));
   }
@@ -109,7 +116,7 @@
   return work;
 }
 
-std::vector<TaskDispatch::OrderedJob> TaskDispatch::OrderedJobs(Time now) {
+std::vector<TaskDispatch::OrderedJob> TaskDispatch::JobsInStartOrder(Time now) {
   std::vector<Job*> jobs;
   std::vector<JobOrderInput> inputs;
   for (const JobId& id : state_.jobs.open()) {
@@ -136,30 +143,30 @@
   std::vector<OrderedJob> ordered;
   ordered.reserve(jobs.size());
   for (uint32_t position : OrderJobs(now, inputs)) {
-    bool in_time =
+    bool can_meet_objective =
         inputs[position].long_running || inputs[position].CanMeetObjective(now);
-    ordered.push_back({jobs[position], in_time});
+    ordered.push_back({jobs[position], can_meet_objective});
   }
   return ordered;
 }
 
-void TaskDispatch::Plan(Time now, Outbox& outbox) {
+void TaskDispatch::PlanReadyTasks(Time now, Outbox& outbox) {
   std::vector<PlacementServer> servers = CollectServers(now);
-  UpdateLargestRoom(servers);
+  UpdateLargestFreeCpu(servers);
   reservations_ = 0;
-  demand_cpu_ = 0;
-  waiting_work_ = 0;
-  for (const OrderedJob& ordered : OrderedJobs(now))
-    PlanJob(now, *ordered.job, ordered.in_time, servers, outbox);
+  demand_cpu_millis_ = 0;
+  waiting_cpu_work_ = 0;
+  for (const OrderedJob& ordered : JobsInStartOrder(now))
+    PlanJob(now, *ordered.job, ordered.can_meet_objective, servers, outbox);
   int64_t capacity = 0;
   for (const PlacementServer& server : servers)
     capacity += server.capacity.cpu_millis;
-  expected_wait_ = Duration(capacity > 0 ? waiting_work_ / capacity : 0);
+  expected_wait_ = Duration(capacity > 0 ? waiting_cpu_work_ / capacity : 0);
 }
 
 void TaskDispatch::PlanJob(Time now,
                            Job& job,
-                           bool in_time,
+                           bool can_meet_objective,
                            std::vector<PlacementServer>& servers,
                            Outbox& outbox) {
   bool advised = state_.QueueOf(job).needs_advice;
@@ -167,7 +174,8 @@
     if (occurrence.finished)
       continue;
     std::vector<bool> gang_tried(job.spec.steps.size(), false);
-    // A step whose task found no room has none for its other tasks either.
+    // Steps of which a task fit on no server: the other tasks of the step do
+    // not fit either.
     std::vector<bool> blocked(job.spec.steps.size(), false);
     for (Task& task : occurrence.tasks) {
       const StepSpec& step = job.StepOf(task);
@@ -175,8 +183,8 @@
         continue;
       if (!JobTable::IsReady(job, occurrence, task))
         continue;
-      if (!step.best_effort && (in_time || !task.runs.empty()))
-        demand_cpu_ += step.request.cpu_millis;
+      if (!step.best_effort && (can_meet_objective || !task.runs.empty()))
+        demand_cpu_millis_ += step.request.cpu_millis;
       if (!task.idle())
         continue;
       bool planned = false;
@@ -184,11 +192,11 @@
         planned = false;
       } else if (advised) {
         std::vector<PlacementServer> admitted = servers;
-        Admit(now, job.IdOf(occurrence, task), admitted, outbox);
+        KeepAdmittedServers(now, job.IdOf(occurrence, task), admitted, outbox);
         planned = step.gang
                       ? PlanGang(now, job, occurrence, task.step, admitted)
                       : PlanTask(now, job, occurrence, task, admitted);
-        TakeRooms(admitted, servers);
+        CopyFreeResources(admitted, servers);
       } else if (step.gang) {
         if (!gang_tried[task.step])
           planned = PlanGang(now, job, occurrence, task.step, servers);
@@ -199,14 +207,15 @@
       if (planned)
         continue;
       bool first = !blocked[task.step];
-      // Tasks that have failed may run on fewer servers than the others.
+      // A task that has failed may run on fewer servers than the other tasks of
+      // its step, so it does not block them.
       blocked[task.step] = task.failures == 0;
-      if (!in_time)
+      if (!can_meet_objective)
         continue;
-      waiting_work_ +=
+      waiting_cpu_work_ +=
           step.request.cpu_millis * state_.ExpectedRunTime(job, step).count();
       if (first)
-        Reserve(job, task, servers);
+        ReserveServer(job, task, servers);
     }
   }
 }
@@ -224,13 +233,13 @@
   return described;
 }
 
-void TaskDispatch::CountStep(const Occurrence& occurrence,
-                             const Task& task,
-                             std::vector<PlacementServer>& servers) const {
+void TaskDispatch::SetStepFields(const Occurrence& occurrence,
+                                 const Task& task,
+                                 std::vector<PlacementServer>& servers) const {
   for (PlacementServer& server : servers) {
     const ServerId& id = server_ids_[server.position];
-    server.same_step = 0;
-    server.failed_before =
+    server.same_step_runs = 0;
+    server.task_failed_here =
         std::find(task.failed_on.begin(), task.failed_on.end(), id) !=
         task.failed_on.end();
   }
@@ -246,48 +255,50 @@
   for (PlacementServer& server : servers) {
     auto count = counts.find(server_ids_[server.position]);
     if (count != counts.end())
-      server.same_step = count->second;
+      server.same_step_runs = count->second;
   }
 }
 
-void TaskDispatch::Admit(Time now,
-                         const TaskId& task,
-                         std::vector<PlacementServer>& servers,
-                         Outbox& outbox) {
-  std::vector<ServerId> asked;
-  asked.reserve(servers.size());
+void TaskDispatch::KeepAdmittedServers(Time now,
+                                       const TaskId& task,
+                                       std::vector<PlacementServer>& servers,
+                                       Outbox& outbox) {
+  std::vector<ServerId> candidates;
+  candidates.reserve(servers.size());
   for (const PlacementServer& server : servers)
-    asked.push_back(server_ids_[server.position]);
+    candidates.push_back(server_ids_[server.position]);
   std::map<ServerId, std::string> tickets =
-      state_.advice.Tickets(now, task, asked, outbox);
+      state_.advice.GetOrRequestTickets(now, task, candidates, outbox);
   std::erase_if(servers, [&](const PlacementServer& server) {
     return !tickets.contains(server_ids_[server.position]);
   });
 }
 
-void TaskDispatch::TakeRooms(std::span<const PlacementServer> from,
-                             std::vector<PlacementServer>& to) {
+void TaskDispatch::CopyFreeResources(std::span<const PlacementServer> from,
+                                     std::vector<PlacementServer>& to) {
   for (const PlacementServer& used : from) {
     for (PlacementServer& server : to) {
       if (server.position == used.position)
-        server.room = used.room;
+        server.free_resources = used.free_resources;
     }
   }
-  UpdateLargestRoom(to);
+  UpdateLargestFreeCpu(to);
 }
 
-void TaskDispatch::ForgetStep(std::vector<PlacementServer>& servers) {
+void TaskDispatch::ClearStepFields(std::vector<PlacementServer>& servers) {
   for (PlacementServer& server : servers) {
-    server.same_step = 0;
-    server.failed_before = false;
+    server.same_step_runs = 0;
+    server.task_failed_here = false;
   }
 }
 
-void TaskDispatch::UpdateLargestRoom(std::span<const PlacementServer> servers) {
-  largest_room_ = 0;
+void TaskDispatch::UpdateLargestFreeCpu(
+    std::span<const PlacementServer> servers) {
+  largest_free_cpu_millis_ = 0;
   for (const PlacementServer& server : servers) {
     if (!server.reserved)
-      largest_room_ = std::max(largest_room_, server.room.cpu_millis);
+      largest_free_cpu_millis_ =
+          std::max(largest_free_cpu_millis_, server.free_resources.cpu_millis);
   }
 }
 
@@ -297,16 +308,16 @@
                             Task& task,
                             std::vector<PlacementServer>& servers) {
   PlacementTask described = DescribeTask(job, task);
-  if (described.step->counted_request().cpu_millis > largest_room_)
+  if (described.step->counted_request().cpu_millis > largest_free_cpu_millis_)
     return false;
   bool counted = described.step->max_per_server > 0 ||
                  described.step->colocated || !task.failed_on.empty();
   if (counted)
-    CountStep(occurrence, task, servers);
+    SetStepFields(occurrence, task, servers);
   if (described.step->colocated) {
     std::map<RackId, uint32_t> racks;
     for (const PlacementServer& server : servers)
-      racks[server.rack] += server.same_step;
+      racks[server.rack] += server.same_step_runs;
     uint32_t most = 0;
     for (const auto& [rack, count] : racks) {
       if (count > most) {
@@ -318,10 +329,10 @@
   std::optional<size_t> chosen = ChooseServer(described, servers);
   if (chosen) {
     AddRun(now, job, occurrence, task, task.last_run + 1, servers[*chosen]);
-    UpdateLargestRoom(servers);
+    UpdateLargestFreeCpu(servers);
   }
   if (counted)
-    ForgetStep(servers);
+    ClearStepFields(servers);
   return chosen.has_value();
 }
 
@@ -336,13 +347,13 @@
     if (task.step != step)
       continue;
     if (!task.idle())
-      return false;  // Members of an earlier run have not all ended.
+      return false;  // The runs of the gang's last start have not all ended.
     members.push_back(&task);
     number = std::max(number, task.last_run);
   }
-  // All or none: the choice is made on a copy.
+  // The servers are chosen on a copy, since all members have to fit.
   std::vector<PlacementServer> trial = servers;
-  CountStep(occurrence, *members.front(), trial);
+  SetStepFields(occurrence, *members.front(), trial);
   std::vector<size_t> choices;
   PlacementTask described = DescribeTask(job, *members.front());
   for (Task* member : members) {
@@ -351,13 +362,13 @@
     if (!chosen)
       return false;
     PlacementServer& server = trial[*chosen];
-    server.room -= described.step->counted_request();
-    ++server.same_step;
+    server.free_resources -= described.step->counted_request();
+    ++server.same_step_runs;
     if (described.step->colocated && described.preferred_rack.empty())
       described.preferred_rack = server.rack;
     choices.push_back(*chosen);
   }
-  // All members carry the same checkpoint, the latest of any of them.
+  // All members start from the same checkpoint, the latest of any member.
   std::string checkpoint;
   for (Task* member : members)
     checkpoint = std::max(checkpoint, member->checkpoint);
@@ -385,14 +396,14 @@
   RunRef ref{job.IdOf(occurrence, task), number};
   state_.servers.AddRun(run.server, ref, request);
   task.runs.push_back(std::move(run));
-  server.room -= request;
+  server.free_resources -= request;
   state_.planned[job.id].push_back(ref);
   state_.jobs.Touch(job);
 }
 
-void TaskDispatch::Reserve(const Job& job,
-                           const Task& task,
-                           std::vector<PlacementServer>& servers) {
+void TaskDispatch::ReserveServer(const Job& job,
+                                 const Task& task,
+                                 std::vector<PlacementServer>& servers) {
   if (reservations_ >= kMaxReservations)
     return;
   std::optional<size_t> chosen =
@@ -401,12 +412,12 @@
     return;
   servers[*chosen].reserved = true;
   ++reservations_;
-  UpdateLargestRoom(servers);
+  UpdateLargestFreeCpu(servers);
 }
 
-bool TaskDispatch::MayDisplace(const Job& job,
-                               const Occurrence& occurrence,
-                               const Task& task) const {
+bool TaskDispatch::MayStopLongRunning(const Job& job,
+                                      const Occurrence& occurrence,
+                                      const Task& task) const {
   const StepSpec& step = job.StepOf(task);
   uint32_t missing = 0;
   for (const Task& other : occurrence.tasks) {
@@ -416,7 +427,7 @@
   return missing < std::max(1u, step.allowed_missing);
 }
 
-void TaskDispatch::Review(Time now, Outbox& outbox) {
+void TaskDispatch::ReviewRunningTasks(Time now, Outbox& outbox) {
   std::vector<RunRef> refs;
   for (auto& [id, server] : state_.servers.all()) {
     PaceServer(now, server, outbox);
@@ -451,7 +462,7 @@
     if (step.best_effort)
       paced.emplace_back(ref, run->ordered_pace_percent);
   }
-  if (paced.empty() || now - server.pace_changed_at < kPacePeriod)
+  if (paced.empty() || now - server.pace_changed_at < kMinPaceChangeInterval)
     return;
   for (const auto& [ref, pace] : paced) {
     uint32_t next = NextPace(pace, worst);
@@ -470,10 +481,10 @@
     return;
   double ratio = static_cast<double>(projected.count()) /
                  static_cast<double>(expected.count());
-  if (ratio < kSlowRun)
+  if (ratio < kSlowRunRatio)
     return;
   run.counted_slow = true;
-  ratio = std::min(ratio, kMaxSlowRatio);
+  ratio = std::min(ratio, kMaxSlowRunRatio);
   server.slowness *=
       std::pow(std::max(1.0, ratio / server.slowness), kSlowRunWeight);
 }
@@ -487,11 +498,11 @@
       continue;
     const Run& run = other.runs.front();
     if (run.phase == RunPhase::kRunning &&
-        run.progress_percent >= kTellingPercent &&
+        run.progress_percent >= kMinSiblingPercent &&
         run.server != task.runs.front().server)
       projected.push_back((now - run.phase_since) * 100 / run.progress_percent);
   }
-  if (projected.size() < kTellingSiblings)
+  if (projected.size() < kMinMeasuredSiblings)
     return Duration::zero();
   auto middle =
       projected.begin() + static_cast<std::ptrdiff_t>(projected.size() / 2);
@@ -512,80 +523,83 @@
   TaskId id = job.IdOf(occurrence, task);
   Duration age = now - run.phase_since;
   Duration expected = state_.ExpectedRunTime(job, step);
-  bool fresh =
-      server->last_answer_at && now - *server->last_answer_at < kStandstill;
+  bool answered_recently =
+      server->last_answer_at && now - *server->last_answer_at < kStallTimeout;
   if (step.long_running) {
-    // A task whose start-up was not over at the last poll may be at work by
-    // now.
-    bool leaves = server->listing.draining ||
-                  (server->vacating && MayDisplace(job, occurrence, task));
-    if (leaves) {
+    // The budget also applies to a task that was still starting up at the last
+    // poll, since it may be available by now.
+    bool must_leave =
+        server->listing.draining ||
+        (server->vacating && MayStopLongRunning(job, occurrence, task));
+    if (must_leave) {
       task.displaced = true;
       runs_.RequestStop(now, id, run.number, "server-leaves", outbox);
-    } else if (!task.is_available() && fresh &&
-               now - run.progress_changed_at > 2 * kStandstill) {
-      server->quarantined_until = now + kStandstillHoldBack;
+    } else if (!task.is_available() && answered_recently &&
+               now - run.progress_changed_at > 2 * kStallTimeout) {
+      server->quarantined_until = now + kStallQuarantine;
       runs_.RequestStop(now, id, run.number, "no-progress", outbox);
     }
     return;
   }
-  // What is left, as the run's own pace shows it.
+  // Remaining run time, projected from the progress of this run so far.
   double progress = std::max(1u, run.progress_percent) / 100.0;
   Duration remaining(static_cast<int64_t>(static_cast<double>(age.count()) *
                                           (1 - progress) / progress));
   if (server->vacating || server->listing.draining) {
     bool may_move =
         server->listing.draining || task.relocations < kMaxRelocations;
-    bool saves =
-        step.checkpointing && remaining > kCheckpointPatience && may_move;
+    bool worth_moving =
+        step.checkpointing && remaining > kMaxCheckpointedRemainder && may_move;
     bool overdue =
-        server->vacating && now - server->vacate_started_at > kEmptyPatience;
-    if (!saves && !overdue)
+        server->vacating && now - server->vacate_started_at > kVacateTimeout;
+    if (!worth_moving && !overdue)
       return;
     ++task.relocations;
     runs_.RequestStop(now, id, run.number, "server-leaves", outbox);
     return;
   }
-  if (step.gang || !fresh || task.runs.size() > 1)
+  if (step.gang || !answered_recently || task.runs.size() > 1)
     return;
   if (run.progress_percent < 100 &&
-      now - run.progress_changed_at > kStandstill && age > kStandstill) {
-    server->quarantined_until = now + kStandstillHoldBack;
+      now - run.progress_changed_at > kStallTimeout && age > kStallTimeout) {
+    server->quarantined_until = now + kStallQuarantine;
     ++state_.counters.relocations;
     runs_.RequestStop(now, id, run.number, "no-progress", outbox);
     return;
   }
-  // The other tasks of the step tell more than the estimate.
+  // The progress of the step's other tasks is a better estimate of the run time
+  // than the one of the caller.
   Duration typical = expected;
   if (age > expected) {
     typical = std::max(expected, SiblingRunTime(now, occurrence, task));
     CountSlowRun(age + remaining, typical, run, *server);
   }
   Duration elsewhere = step.checkpointing ? remaining : typical;
-  bool slow = server->slowness > kSlowServer && age > typical &&
+  bool slow = server->slowness > kMinRelocationSlowness && age > typical &&
               remaining > Duration::zero() &&
               task.relocations < kMaxRelocations;
   if (slow &&
       static_cast<double>(remaining.count()) >
-          kRelocationGain *
+          kMinRelocationGain *
               static_cast<double>((elsewhere / 2 + kRestartCost).count())) {
     ++state_.counters.relocations;
     ++task.relocations;
     runs_.RequestStop(now, id, run.number, "slow-server", outbox);
     return;
   }
-  bool straggles = step.speculative && age > kMinStragglerAge &&
-                   static_cast<double>(age.count()) >
-                       kStraggler * static_cast<double>(typical.count()) &&
-                   remaining > typical;
-  if (!straggles)
+  bool is_straggler =
+      step.speculative && age > kMinStragglerAge &&
+      static_cast<double>(age.count()) >
+          kStragglerRatio * static_cast<double>(typical.count()) &&
+      remaining > typical;
+  if (!is_straggler)
     return;
   std::vector<PlacementServer> servers = CollectServers(now);
   std::erase_if(servers, [&](const PlacementServer& s) {
     return server_ids_[s.position] == run.server ||
-           s.room.cpu_millis * 4 < s.capacity.cpu_millis;
+           s.free_resources.cpu_millis * 4 < s.capacity.cpu_millis;
   });
-  UpdateLargestRoom(servers);
+  UpdateLargestFreeCpu(servers);
   if (PlanTask(now, job, occurrence, task, servers)) {
     ++state_.counters.speculative_starts;
     outbox.LogDecision("copy-started",
--- a/radishmoor/jobs/task_dispatch.h
+++ b/radishmoor/jobs/task_dispatch.h
@@ -1,9 +1,9 @@
-// Plans the next starts of one pool and moves tasks that make no progress where
-// they are.
+// Plans the next starts of tasks in one pool, and moves tasks away from servers
+// on which they make too little progress.
 //
-// Load that it answers: queues that ask for more than the pool holds for some
-// seconds; servers that are slow, stand still or fail what they start; servers
-// that are about to leave.
+// Designed for queues whose demand exceeds the pool's capacity for some
+// seconds; for servers that are slow, stall, or fail the tasks that they start;
+// and for servers that are about to leave the pool.
 
 #ifndef RADISHMOOR_JOBS_TASK_DISPATCH_H_
 #define RADISHMOOR_JOBS_TASK_DISPATCH_H_
@@ -22,33 +22,40 @@
   TaskDispatch(JobPoolState& state, RunControl& runs)
       : state_(state), runs_(runs) {}
 
-  // Plans runs for ready tasks as far as there is room.
-  void Plan(Time now, Outbox& outbox);
+  // Plans runs for ready tasks as far as servers have free resources. A planned
+  // run is started once a commit has stored it.
+  void PlanReadyTasks(Time now, Outbox& outbox);
 
-  // Stops runs that would end sooner elsewhere, empties servers that leave, and
-  // starts copies of stragglers where the step allows them.
-  void Review(Time now, Outbox& outbox);
+  // Stops runs that are expected to end sooner on another server, stops the
+  // runs on servers that leave, plans speculative copies of stragglers where
+  // the step allows them, and adjusts the pace of best-effort tasks.
+  void ReviewRunningTasks(Time now, Outbox& outbox);
 
-  // Cores of running tasks, and of ready tasks of jobs that can still meet
-  // their objective, in thousandths.
-  int64_t demand_cpu() const { return demand_cpu_; }
-  // Core-seconds of all tasks of a job, by observed run times.
+  // Thousandths of cores that running tasks use and that ready tasks of jobs
+  // that can still meet their objective ask for. Best-effort tasks do not
+  // count.
+  int64_t demand_cpu_millis() const { return demand_cpu_millis_; }
+  // Core-seconds of all tasks of a job that has not begun, by observed run
+  // times.
   double TotalWork(const Job& job) const { return RemainingWork(job); }
-  // How long a job that arrives now waits for its first start.
+  // Expected time that a job which arrives now waits for its first start.
   Duration expected_wait() const { return expected_wait_; }
 
  private:
+  // The servers on which runs can be planned now.
   std::vector<PlacementServer> CollectServers(Time now);
   struct OrderedJob {
     Job* job = nullptr;
-    bool in_time = false;  // It can still meet its objective.
+    bool can_meet_objective = false;
   };
-  std::vector<OrderedJob> OrderedJobs(Time now);
+  std::vector<OrderedJob> JobsInStartOrder(Time now);
+  // Expected run time of the longest chain of steps that are not done.
   Duration RemainingChain(const Job& job) const;
+  // Core-seconds of the tasks that are not done.
   double RemainingWork(const Job& job) const;
   void PlanJob(Time now,
                Job& job,
-               bool in_time,
+               bool can_meet_objective,
                std::vector<PlacementServer>& servers,
                Outbox& outbox);
   bool PlanTask(Time now,
@@ -56,30 +63,35 @@
                 Occurrence& occurrence,
                 Task& task,
                 std::vector<PlacementServer>& servers);
-  // Keeps only the servers that the placement adviser admits for the step.
-  void Admit(Time now,
-             const TaskId& task,
-             std::vector<PlacementServer>& servers,
-             Outbox& outbox);
+  // Removes the servers that the placement adviser has not admitted for the
+  // step.
+  void KeepAdmittedServers(Time now,
+                           const TaskId& task,
+                           std::vector<PlacementServer>& servers,
+                           Outbox& outbox);
+  // Plans all tasks of the step, or none if they do not all fit.
   bool PlanGang(Time now,
                 Job& job,
                 Occurrence& occurrence,
                 uint32_t step,
                 std::vector<PlacementServer>& servers);
-  void Reserve(const Job& job,
-               const Task& task,
-               std::vector<PlacementServer>& servers);
+  // Reserves a server for a task that fits nowhere now.
+  void ReserveServer(const Job& job,
+                     const Task& task,
+                     std::vector<PlacementServer>& servers);
   PlacementTask DescribeTask(const Job& job, const Task& task) const;
-  // Fills in what depends on the step: runs of it on each server.
-  void CountStep(const Occurrence& occurrence,
-                 const Task& task,
-                 std::vector<PlacementServer>& servers) const;
-  // Copies the rooms of the servers in `from`.
-  void TakeRooms(std::span<const PlacementServer> from,
-                 std::vector<PlacementServer>& to);
-  // Takes back what CountStep() filled in.
-  static void ForgetStep(std::vector<PlacementServer>& servers);
-  void UpdateLargestRoom(std::span<const PlacementServer> servers);
+  // Sets the fields of the servers that depend on the task: the runs of its
+  // step there, and whether the task has failed there.
+  void SetStepFields(const Occurrence& occurrence,
+                     const Task& task,
+                     std::vector<PlacementServer>& servers) const;
+  // Copies the free resources of the servers in `from` to the same ones in
+  // `to`.
+  void CopyFreeResources(std::span<const PlacementServer> from,
+                         std::vector<PlacementServer>& to);
+  // Resets the fields that SetStepFields() sets.
+  static void ClearStepFields(std::vector<PlacementServer>& servers);
+  void UpdateLargestFreeCpu(std::span<const PlacementServer> servers);
   void AddRun(Time now,
               Job& job,
               Occurrence& occurrence,
@@ -92,30 +104,37 @@
                  Task& task,
                  Run& run,
                  Outbox& outbox);
-  // How long running tasks of the same step take on other servers, by their
-  // progress; zero if too few are running.
+  // Median run time of the step's tasks that run on other servers, projected
+  // from their progress; zero if too few of them have made enough progress.
   Duration SiblingRunTime(Time now,
                           const Occurrence& occurrence,
                           const Task& task) const;
-  // Holds a run that takes far longer than expected against its server, once.
+  // Raises the slowness of the server if the run takes far longer than
+  // expected. Each run counts at most once.
   void CountSlowRun(Duration projected,
                     Duration expected,
                     Run& run,
                     ServerState& server);
-  // Adjusts the pace of tasks that use spare room beside serving ones.
+  // Adjusts the pace of the server's best-effort tasks to the tail latency of
+  // its latency-sensitive tasks.
   void PaceServer(Time now, ServerState& server, Outbox& outbox);
-  bool MayDisplace(const Job& job,
-                   const Occurrence& occurrence,
-                   const Task& task) const;
+  // True if the step of the long-running task stays within its budget of
+  // unavailable tasks when this one is stopped.
+  bool MayStopLongRunning(const Job& job,
+                          const Occurrence& occurrence,
+                          const Task& task) const;
 
   JobPoolState& state_;
   RunControl& runs_;
   std::vector<ServerId> server_ids_;  // By PlacementServer::position.
-  int64_t demand_cpu_ = 0;
-  int64_t waiting_work_ = 0;  // Core-microseconds of tasks that found no room.
+  int64_t demand_cpu_millis_ = 0;
+  // Work of the ready tasks that fit on no server, in thousandths of a core
+  // times microseconds. Only jobs that can still meet their objective count.
+  int64_t waiting_cpu_work_ = 0;
   Duration expected_wait_{};
-  uint32_t reservations_ = 0;
-  int64_t largest_room_ = 0;  // Of a server that is not reserved.
+  uint32_t reservations_ = 0;  // Servers reserved by the current plan.
+  // Largest free CPU of any server that is not reserved.
+  int64_t largest_free_cpu_millis_ = 0;
 };
 
 }  // namespace radishmoor
--- a/radishmoor/jobs/testing/placement_test.cc
+++ b/radishmoor/jobs/testing/placement_test.cc
@@ -12,23 +12,26 @@
 
 const Time kStart = kTimeZero + Seconds(100);
 
-PlacementServer MakeServer(int64_t capacity, int64_t room) {
+PlacementServer MakeServer(int64_t capacity_cpu_millis,
+                           int64_t free_cpu_millis) {
   PlacementServer server;
-  server.capacity = {capacity, 64000, 0};
-  server.room = {room, 64000, 0};
+  server.capacity = {capacity_cpu_millis, 64000, 0};
+  server.free_resources = {free_cpu_millis, 64000, 0};
   return server;
 }
 
-StepSpec MakeStep(int64_t cpu) {
+StepSpec MakeStep(int64_t task_cpu_millis) {
   StepSpec step;
-  step.request = {cpu, 100, 0};
+  step.request = {task_cpu_millis, 100, 0};
   step.estimate = Milliseconds(500);
   return step;
 }
 
-// Guards against work that was begun being dropped for new jobs, and against a
-// backlog of late jobs that makes the following ones late.
-TEST_CASE("begun jobs come first and late ones last", "[placement]") {
+// Guards against jobs that have begun being delayed by new jobs until their
+// work is lost, and against a backlog of late jobs that makes later jobs late
+// as well.
+TEST_CASE("jobs that have begun start first, then small ones, late ones last",
+          "[placement]") {
   std::vector<JobOrderInput> jobs(4);
   for (uint32_t i = 0; i < 4; ++i) {
     jobs[i].position = i;
@@ -44,7 +47,7 @@
 }
 
 // Guards against long-running tasks that wait behind short ones.
-TEST_CASE("long-running jobs come before all", "[placement]") {
+TEST_CASE("long-running jobs start before all others", "[placement]") {
   std::vector<JobOrderInput> jobs(2);
   jobs[0].position = 0;
   jobs[0].objective = kStart + Seconds(1);
@@ -54,9 +57,10 @@
   REQUIRE(OrderJobs(kStart, jobs).front() == 1);
 }
 
-// Guards against tasks spread thinly over servers that could be given up, and
-// against work on slow servers or where it failed before.
-TEST_CASE("the server with the smallest free share is chosen", "[placement]") {
+// Guards against tasks spread over servers that could be given up, and against
+// tasks on slow servers or on those where they have failed.
+TEST_CASE("the server with the smallest free share of cores is chosen",
+          "[placement]") {
   std::vector<PlacementServer> servers = {
       MakeServer(16000, 4000), MakeServer(16000, 9000), MakeServer(8000, 4000)};
   StepSpec step = MakeStep(1000);
@@ -64,65 +68,71 @@
   REQUIRE(ChooseServer(task, servers) == 0);
   servers[0].slowness = 4;
   REQUIRE(ChooseServer(task, servers) == 2);
-  servers[2].failed_before = true;
+  servers[2].task_failed_here = true;
   REQUIRE(ChooseServer(task, servers) == 1);
 }
 
-// Plays a peak of tasks, three in a hundred of which run long, and returns how
-// many servers still run something soon after its end.
-size_t BusyAfterPeak(bool gather) {
+// Simulates a peak of 5 s in which 3% of the tasks run seven times as long as
+// the others, and returns how many servers are still busy 0.7 s after its end.
+// With `pack`, ChooseServer() places the tasks; otherwise each task is placed
+// on the server with the most free CPU.
+size_t BusyServersAfterPeak(bool pack) {
   constexpr size_t kServers = 20;
-  constexpr int kSteps = 500;  // Of 10 ms.
-  constexpr int kAfter = 70;
+  // Time is counted in steps of 10 ms.
+  constexpr int kPeakSteps = 500;
+  constexpr int kStepsAfterPeak = 70;
   std::vector<PlacementServer> servers(kServers, MakeServer(16000, 16000));
-  std::multimap<int, size_t> ends;  // Step, server.
+  std::multimap<int, size_t> ends;  // Server by the step at which a task ends.
   Random random(11);
   StepSpec step = MakeStep(1000);
-  for (int now = 0; now < kSteps + kAfter; ++now) {
+  for (int now = 0; now < kPeakSteps + kStepsAfterPeak; ++now) {
     for (auto it = ends.begin(); it != ends.end() && it->first <= now;
          it = ends.erase(it))
-      servers[it->second].room.cpu_millis += step.request.cpu_millis;
-    for (int i = 0; now < kSteps && i < 2; ++i) {
+      servers[it->second].free_resources.cpu_millis += step.request.cpu_millis;
+    for (int i = 0; now < kPeakSteps && i < 2; ++i) {
       std::optional<size_t> chosen = ChooseServer({&step}, servers);
-      if (!gather) {
+      if (!pack) {
         auto freest = std::max_element(
             servers.begin(), servers.end(), [](const auto& a, const auto& b) {
-              return a.room.cpu_millis < b.room.cpu_millis;
+              return a.free_resources.cpu_millis < b.free_resources.cpu_millis;
             });
         chosen = static_cast<size_t>(freest - servers.begin());
       }
       REQUIRE(chosen);
-      servers[*chosen].room.cpu_millis -= step.request.cpu_millis;
+      servers[*chosen].free_resources.cpu_millis -= step.request.cpu_millis;
       int length = 25 + static_cast<int>(random.Below(50));
       ends.emplace(now + (random.Chance(0.03) ? 7 * length : length), *chosen);
     }
   }
   return static_cast<size_t>(
       std::count_if(servers.begin(), servers.end(), [](const auto& server) {
-        return server.room.cpu_millis < server.capacity.cpu_millis;
+        return server.free_resources.cpu_millis < server.capacity.cpu_millis;
       }));
 }
 
-// Guards against a pool that cannot give up servers after a peak since each of
-// them still runs a long task. Spreading tasks is the baseline.
-TEST_CASE("gathered tasks leave servers empty after a peak", "[placement]") {
-  size_t spread = BusyAfterPeak(false);
-  size_t gathered = BusyAfterPeak(true);
-  INFO("busy servers of 20: spread " << spread << ", gathered " << gathered);
-  REQUIRE(gathered * 3 <= spread * 2);
+// Guards against a pool that cannot give up servers after a peak because each
+// of them still runs a long task. The baseline spreads the tasks over all
+// servers.
+TEST_CASE("packing leaves at most 2/3 as many servers busy after a peak",
+          "[placement]") {
+  size_t spread = BusyServersAfterPeak(false);
+  size_t packed = BusyServersAfterPeak(true);
+  INFO("busy servers of 20: spread " << spread << ", packed " << packed);
+  REQUIRE(packed * 3 <= spread * 2);
 }
 
-TEST_CASE("room, labels and spreading limits are kept", "[placement]") {
+TEST_CASE("a server needs free CPU, the label, and fewer than max_per_server",
+          "[placement]") {
   std::vector<PlacementServer> servers = {MakeServer(16000, 500)};
   StepSpec step = MakeStep(1000);
   PlacementTask task{&step};
   REQUIRE_FALSE(ChooseServer(task, servers));
-  servers[0].room.cpu_millis = 4000;
+  servers[0].free_resources.cpu_millis = 4000;
   REQUIRE(ChooseServer(task, servers) == 0);
   step.max_per_server = 1;
-  servers[0].same_step = 1;
+  servers[0].same_step_runs = 1;
   REQUIRE_FALSE(ChooseServer(task, servers));
-  servers[0].same_step = 0;
+  servers[0].same_step_runs = 0;
   step.requirement = std::string(1, 'b');
   REQUIRE_FALSE(ChooseServer(task, servers));
   std::vector<std::string> labels = {"a", "b"};
@@ -131,7 +141,7 @@
 }
 
 // Guards against a job's last attempt being spent on a server that fails all
-// that it starts.
+// tasks that it starts.
 TEST_CASE("the last attempt needs a trusted server", "[placement]") {
   std::vector<PlacementServer> servers = {MakeServer(16000, 9000)};
   servers[0].trusted = false;
@@ -142,8 +152,9 @@
   REQUIRE(ChooseServer(task, servers) == 0);
 }
 
-// Guards against large tasks that small ones keep from ever starting.
-TEST_CASE("a task that fits nowhere reserves the nearest server",
+// Guards against large tasks that never start because small ones take all free
+// resources.
+TEST_CASE("a task that fits nowhere reserves the server with the most free CPU",
           "[placement]") {
   std::vector<PlacementServer> servers = {MakeServer(16000, 3000),
                                           MakeServer(16000, 7000)};
@@ -158,27 +169,30 @@
 }
 
 // Guards against long-running tasks spread over servers that could be given up.
-TEST_CASE("long-running tasks gather", "[placement]") {
+TEST_CASE("long-running tasks are packed on the same servers", "[placement]") {
   std::vector<PlacementServer> servers = {MakeServer(16000, 12000),
                                           MakeServer(16000, 15000)};
-  servers[1].long_runs = 1;
+  servers[1].long_running_runs = 1;
   StepSpec step = MakeStep(1000);
   REQUIRE(ChooseServer({&step}, servers) == 0);
   step.long_running = true;
   REQUIRE(ChooseServer({&step}, servers) == 1);
 }
 
-// A queue that asks for more than its servers hold, in virtual time: each job
-// has two steps of tasks that take a second; the servers hold `kSlots` tasks.
+// How many jobs of a simulated peak met their objective.
 struct PeakResult {
   int on_time = 0;
   int late = 0;
 };
 
-enum class Policy { kArrival, kLeastSlack, kChosen };
+// kOrderJobs: by OrderJobs(); kArrival: first come, first served.
+enum class Policy { kArrival, kLeastSlack, kOrderJobs };
 
-PeakResult PlayPeak(Policy policy, uint64_t seed) {
-  constexpr int kSlots = 40;
+// Simulates, in virtual time, a queue whose demand exceeds its servers: each
+// job has two steps of tasks that take a second, and the servers run at most
+// kServerSlots tasks at a time.
+PeakResult SimulatePeak(Policy policy, uint64_t seed) {
+  constexpr int kServerSlots = 40;
   constexpr Duration kTick = Milliseconds(50);
   struct SimJob {
     Time arrived;
@@ -199,7 +213,7 @@
       job.arrived = now;
       job.width = static_cast<int>(1 + random.Below(8));
       job.waiting = job.width;
-      // 1.6 times the chain of two seconds, and 0.6 s.
+      // 1.6 times the run time of both steps (2 s), plus 0.6 s.
       job.objective = now + Milliseconds(3800);
       jobs.push_back(job);
     }
@@ -233,7 +247,7 @@
       inputs.push_back(input);
     }
     std::vector<uint32_t> order;
-    if (policy == Policy::kChosen) {
+    if (policy == Policy::kOrderJobs) {
       order = OrderJobs(now, inputs);
     } else {
       std::stable_sort(inputs.begin(), inputs.end(),
@@ -248,7 +262,7 @@
     }
     for (uint32_t position : order) {
       SimJob& job = jobs[position];
-      while (job.waiting > 0 && running.size() < kSlots) {
+      while (job.waiting > 0 && running.size() < kServerSlots) {
         --job.waiting;
         ++job.running;
         running.emplace_back(now + Seconds(1), position);
@@ -258,26 +272,27 @@
   return result;
 }
 
-// Guards against an order that loses the jobs of a peak: what callers get in
-// time is compared with first come first served and with least slack first.
-TEST_CASE("more of a peak is in time than under simpler orders",
+// Guards against an order of jobs under which few jobs of a peak meet their
+// objective. The baselines are first come first served and least slack first.
+TEST_CASE("more jobs of a peak are on time than under simpler orders",
           "[placement]") {
-  int chosen = 0;
-  int arrival = 0;
-  int slack = 0;
+  int on_time_by_order_jobs = 0;
+  int on_time_by_arrival = 0;
+  int on_time_by_slack = 0;
   for (uint64_t seed = 1; seed <= 10; ++seed) {
-    PeakResult result = PlayPeak(Policy::kChosen, seed);
-    PeakResult first = PlayPeak(Policy::kArrival, seed);
-    chosen += result.on_time;
-    arrival += first.on_time;
-    slack += PlayPeak(Policy::kLeastSlack, seed).on_time;
-    // No job starves: all end under both.
-    REQUIRE(result.on_time + result.late == first.on_time + first.late);
+    PeakResult result = SimulatePeak(Policy::kOrderJobs, seed);
+    PeakResult by_arrival = SimulatePeak(Policy::kArrival, seed);
+    on_time_by_order_jobs += result.on_time;
+    on_time_by_arrival += by_arrival.on_time;
+    on_time_by_slack += SimulatePeak(Policy::kLeastSlack, seed).on_time;
+    // No job starves: as many jobs end as under first come first served.
+    REQUIRE(result.on_time + result.late ==
+            by_arrival.on_time + by_arrival.late);
   }
-  INFO("in time: " << chosen << ", by arrival " << arrival << ", by slack "
-                   << slack);
-  REQUIRE(chosen > arrival);
-  REQUIRE(chosen > slack);
+  INFO("on time: " << on_time_by_order_jobs << ", by arrival "
+                   << on_time_by_arrival << ", by slack " << on_time_by_slack);
+  REQUIRE(on_time_by_order_jobs > on_time_by_arrival);
+  REQUIRE(on_time_by_order_jobs > on_time_by_slack);
 }
 
 }  // namespace
--- a/radishmoor/jobs/testing/pool_scheduler_test.cc
+++ b/radishmoor/jobs/testing/pool_scheduler_test.cc
@@ -21,10 +21,11 @@
   return spec;
 }
 
-// An owner in front of a store; its commits are seen one by one.
-class OwnerSite {
+// Runs a pool's owner against a table in memory, in virtual time, and can stop
+// after any number of commits.
+class OwnerHarness {
  public:
-  OwnerSite() {
+  OwnerHarness() {
     config_.version = 1;
     config_.pools = {{pool_}};
     QueueConfig queue;
@@ -39,6 +40,7 @@
     table_.Handle(CommitRows{transaction});
   }
 
+  // Starts a new owner, which takes the lease from the one before, if any.
   void TakeOver() {
     PoolSchedulerOptions options;
     options.pool = pool_;
@@ -56,7 +58,7 @@
     owner_ = std::make_unique<PoolScheduler>(options, config_, outbox_);
   }
 
-  // Runs until `commits` more commits were stored, or `length` has passed.
+  // Runs until the owner has sent `commits` commits, or `length` has passed.
   void Run(Duration length, int commits = 1'000'000) {
     for (Time end = now_ + length; now_ < end && commits > 0;
          now_ += Milliseconds(5)) {
@@ -66,8 +68,8 @@
         if (call == nullptr)
           continue;
         const auto* scan = std::get_if<ScanRows>(&call->request);
-        if (owner_->loaded() && scan != nullptr && before_inbox_)
-          std::exchange(before_inbox_, nullptr)();
+        if (owner_->loaded() && scan != nullptr && before_inbox_scan_)
+          std::exchange(before_inbox_scan_, nullptr)();
         commits -= std::holds_alternative<CommitRows>(call->request) ? 1 : 0;
         owner_->OnStoreAnswer(
             now_, 0, {call->tag, table_.Handle(call->request)}, outbox_);
@@ -86,112 +88,127 @@
   Time now_ = kTimeZero + Seconds(100);
   std::unique_ptr<PoolScheduler> owner_;
   FencingToken token_ = 0;
-  // Runs once, before the first reading of the inbox after the load.
-  std::function<void()> before_inbox_;
+  // Called once, before the first scan of the inbox by an owner that has loaded
+  // the pool.
+  std::function<void()> before_inbox_scan_;
 };
 
-// A cancellation that was acknowledged must survive the owner: its mark may be
-// removed only once the cancelled state is stored, which other changes may
-// delay by several commits.
-TEST_CASE("a cancellation survives the owner at any moment", "[scheduler]") {
+// Guards against a lost cancellation: the owner must not remove its inbox row
+// before the cancelled state is stored, which other changes may delay by
+// several commits.
+TEST_CASE("a stored cancellation survives the end of its owner",
+          "[scheduler]") {
   for (int commits = 1; commits <= 10; ++commits) {
     INFO("the first owner ends after " << commits << " commits");
-    OwnerSite site;
+    OwnerHarness harness;
     JobId job("job");
-    site.Put(JobKey(site.pool_, job), EncodeJob(OneTask()));
-    site.TakeOver();
-    site.Run(Milliseconds(500));
-    site.Put(InboxKey(site.pool_, kInboxCancelled, job), "");
+    harness.Put(JobKey(harness.pool_, job), EncodeJob(OneTask()));
+    harness.TakeOver();
+    harness.Run(Milliseconds(500));
+    harness.Put(InboxKey(harness.pool_, kInboxCancelled, job), "");
     bool polled = false;
-    site.before_inbox_ = [&site, &polled] {
+    harness.before_inbox_scan_ = [&harness, &polled] {
       polled = true;
       for (int i = 0; i < 200; ++i) {
-        site.owner_->OnJobNotice(
-            site.now_, MemberId("m"), "",
-            {site.pool_, JobId("other" + std::to_string(i)), OneTask(), {}, 1},
-            site.outbox_);
+        harness.owner_->OnJobNotice(harness.now_, MemberId("m"), "",
+                                    {harness.pool_,
+                                     JobId("other" + std::to_string(i)),
+                                     OneTask(),
+                                     {},
+                                     1},
+                                    harness.outbox_);
       }
     };
     while (!polled)
-      site.Run(Milliseconds(5));
-    site.Run(Seconds(1), commits);
-    site.TakeOver();
-    site.Run(Seconds(5));
+      harness.Run(Milliseconds(5));
+    harness.Run(Seconds(1), commits);
+    harness.TakeOver();
+    harness.Run(Seconds(5));
     std::optional<StoredProgress> progress =
-        DecodeProgress(site.Read(ProgressKey(site.pool_, job)).value);
+        DecodeProgress(harness.Read(ProgressKey(harness.pool_, job)).value);
     REQUIRE(progress);
     REQUIRE(progress->state == JobState::kCancelled);
-    REQUIRE(site.Read(InboxKey(site.pool_, kInboxCancelled, job)).version == 0);
+    REQUIRE(
+        harness.Read(InboxKey(harness.pool_, kInboxCancelled, job)).version ==
+        0);
   }
 }
 
-// Inbox rows must go even while many jobs change all the time.
-TEST_CASE("the inbox is emptied beside many changes", "[scheduler]") {
-  OwnerSite site;
+// Guards against inbox rows that are never removed because the changes of many
+// jobs fill each commit.
+TEST_CASE("inbox rows are removed while many jobs change", "[scheduler]") {
+  OwnerHarness harness;
   for (int i = 0; i < 400; ++i) {
     JobId job("a" + std::to_string(100 + i));
-    site.Put(JobKey(site.pool_, job), EncodeJob(OneTask()));
-    site.Put(InboxKey(site.pool_, kInboxSubmitted, job), "");
+    harness.Put(JobKey(harness.pool_, job), EncodeJob(OneTask()));
+    harness.Put(InboxKey(harness.pool_, kInboxSubmitted, job), "");
   }
-  site.TakeOver();
-  site.Run(Seconds(10));
-  RowsReply left =
-      std::get<RowsReply>(site.table_.Handle(ScanRows{"inbox/a/", "", 1000}));
+  harness.TakeOver();
+  harness.Run(Seconds(10));
+  RowsReply left = std::get<RowsReply>(
+      harness.table_.Handle(ScanRows{"inbox/a/", "", 1000}));
   REQUIRE(left.rows.empty());
 }
 
-// A row of another writer must not end the process or hide other jobs.
-TEST_CASE("unreadable rows are passed over", "[scheduler]") {
-  OwnerSite site;
+// Guards against a row that cannot be decoded ending the process or keeping
+// other jobs from being loaded.
+TEST_CASE("unreadable rows are skipped and counted", "[scheduler]") {
+  OwnerHarness harness;
   JobId good("good");
-  site.Put(JobKey(site.pool_, JobId("bad")), "no job");
-  site.Put(ProgressKey(site.pool_, JobId("bad2")), "no progress");
-  site.Put("inbox/a/nonsense", "");
-  site.Put(JobKey(site.pool_, good), EncodeJob(OneTask()));
-  site.TakeOver();
-  site.Run(Seconds(3));
-  REQUIRE(site.owner_->loaded());
-  REQUIRE(site.owner_->state().jobs.Find(good) != nullptr);
-  REQUIRE(site.owner_->state().counters.unreadable_rows == 3);
+  harness.Put(JobKey(harness.pool_, JobId("bad")), "no job");
+  harness.Put(ProgressKey(harness.pool_, JobId("bad2")), "no progress");
+  harness.Put("inbox/a/nonsense", "");
+  harness.Put(JobKey(harness.pool_, good), EncodeJob(OneTask()));
+  harness.TakeOver();
+  harness.Run(Seconds(3));
+  REQUIRE(harness.owner_->loaded());
+  REQUIRE(harness.owner_->state().jobs.Find(good) != nullptr);
+  REQUIRE(harness.owner_->state().counters.unreadable_rows == 3);
 }
 
-// Guards against commits that are full with few jobs: while the store is slow,
-// one commit a second takes up all that arrives.
-TEST_CASE("a commit takes up many new jobs", "[scheduler]") {
-  OwnerSite site;
-  site.TakeOver();
-  site.Run(Seconds(1));
+// Guards against commits that hold only a few new jobs: while the store is
+// slow, one commit a second has to store all jobs that arrive.
+TEST_CASE("two commits store 160 new jobs", "[scheduler]") {
+  OwnerHarness harness;
+  harness.TakeOver();
+  harness.Run(Seconds(1));
   constexpr int kJobs = 160;
   for (int i = 0; i < kJobs; ++i) {
-    site.owner_->OnJobNotice(
-        site.now_, MemberId("m"), "",
-        {site.pool_, JobId("job" + std::to_string(1000 + i)), OneTask(), {}, 1},
-        site.outbox_);
+    harness.owner_->OnJobNotice(harness.now_, MemberId("m"), "",
+                                {harness.pool_,
+                                 JobId("job" + std::to_string(1000 + i)),
+                                 OneTask(),
+                                 {},
+                                 1},
+                                harness.outbox_);
   }
-  site.Run(Seconds(1), 2);
+  harness.Run(Seconds(1), 2);
   RowsReply stored =
-      std::get<RowsReply>(site.table_.Handle(ScanRows{"jobs/a/", "", 1000}));
+      std::get<RowsReply>(harness.table_.Handle(ScanRows{"jobs/a/", "", 1000}));
   REQUIRE(stored.rows.size() == kJobs);
   // A successor finds them all.
-  site.TakeOver();
-  site.Run(Seconds(1));
-  REQUIRE(site.owner_->state().jobs.open().size() == kJobs);
+  harness.TakeOver();
+  harness.Run(Seconds(1));
+  REQUIRE(harness.owner_->state().jobs.open().size() == kJobs);
 }
 
-// Guards against a report that leaves out open jobs without a word, or lists
-// ended ones.
-TEST_CASE("the report lists open jobs, the oldest first", "[scheduler]") {
-  OwnerSite site;
-  site.TakeOver();
-  site.Run(Seconds(1));
+// Guards against a pool report that omits open jobs without saying how many.
+TEST_CASE("the pool report lists the oldest open jobs and counts the rest",
+          "[scheduler]") {
+  OwnerHarness harness;
+  harness.TakeOver();
+  harness.Run(Seconds(1));
   for (size_t i = 0; i < kMaxReportedJobs + 5; ++i) {
-    site.owner_->OnJobNotice(
-        site.now_, MemberId("m"), "",
-        {site.pool_, JobId("job" + std::to_string(1000 + i)), OneTask(), {}, 1},
-        site.outbox_);
-    site.Run(Milliseconds(5));
+    harness.owner_->OnJobNotice(harness.now_, MemberId("m"), "",
+                                {harness.pool_,
+                                 JobId("job" + std::to_string(1000 + i)),
+                                 OneTask(),
+                                 {},
+                                 1},
+                                harness.outbox_);
+    harness.Run(Milliseconds(5));
   }
-  std::string report = PoolReport(site.now_, *site.owner_);
+  std::string report = PoolReport(harness.now_, *harness.owner_);
   REQUIRE(report.starts_with("pool a token=1 loaded=1"));
   REQUIRE(report.find("queue q pending=105") != std::string::npos);
   REQUIRE(report.find("job job1000 ") < report.find("job job1001 "));
--- a/radishmoor/jobs/testing/task_dispatch_test.cc
+++ b/radishmoor/jobs/testing/task_dispatch_test.cc
@@ -7,10 +7,11 @@
 
 const Time kNow = kTimeZero + Seconds(100);
 
-// A pool with one job, whose tasks run where the test says.
-class Pool {
+// A pool with one job of one step; the test decides where its tasks run.
+class TestPool {
  public:
-  explicit Pool(const StepSpec& step) : state_(PoolId("a"), PlatformBounds()) {
+  explicit TestPool(const StepSpec& step)
+      : state_(PoolId("a"), PlatformBounds()) {
     JobSpec spec;
     spec.queue = QueueId("q");
     spec.steps = {step};
@@ -28,13 +29,14 @@
     return server;
   }
 
-  Run& AddRun(uint32_t index, const char* server, uint32_t percent) {
+  // Adds a run of task `index` that has been running for 100 ms.
+  Run& AddRun(uint32_t index, const char* server, uint32_t progress_percent) {
     Task& task = job_->occurrences.at(0).tasks[index];
     Run run;
     run.number = ++task.last_run;
     run.server = ServerId(server);
     run.phase = RunPhase::kRunning;
-    run.progress_percent = percent;
+    run.progress_percent = progress_percent;
     run.phase_since = run.start_sent_at = run.progress_changed_at =
         kNow - Milliseconds(100);
     task.runs.push_back(run);
@@ -44,9 +46,10 @@
     return task.runs.back();
   }
 
-  size_t Stops() {
+  // Returns how many runs a review stops.
+  size_t ReviewAndCountStops() {
     Outbox outbox;
-    dispatch_.Review(kNow, outbox);
+    dispatch_.ReviewRunningTasks(kNow, outbox);
     size_t stops = 0;
     for (const JobAction& action : outbox.TakeAllActions()) {
       const auto* order = std::get_if<OrderToServer>(&action);
@@ -71,10 +74,12 @@
   return step;
 }
 
-// Guards against emptying servers faster than the tasks of a step come back.
-TEST_CASE("long-running tasks leave a server within their budget",
+// Guards against more tasks of a long-running step being unavailable at once
+// than the step allows, because several of its servers are emptied at the same
+// time.
+TEST_CASE("at most allowed_missing long-running tasks are stopped at a time",
           "[dispatch]") {
-  Pool pool(LongRunning(4, 1));
+  TestPool pool(LongRunning(4, 1));
   pool.AddServer("s1").vacating = true;
   pool.AddServer("s2").vacating = true;
   pool.AddServer("s3");
@@ -82,100 +87,105 @@
   pool.AddRun(1, "s2", 100);
   pool.AddRun(2, "s3", 100);
   pool.AddRun(3, "s3", 100);
-  REQUIRE(pool.Stops() == 1);
-  REQUIRE(pool.Stops() == 0);
+  REQUIRE(pool.ReviewAndCountStops() == 1);
+  REQUIRE(pool.ReviewAndCountStops() == 0);
 }
 
-// A task that had not finished its start-up at the last poll may be at work by
-// now, so that stopping it counts.
-TEST_CASE("a starting task is not stopped while others are missing",
+// Guards against stopping a task beyond the step's budget because it was still
+// starting up at the last poll: it may be available by now.
+TEST_CASE("a starting task is not stopped while another one is missing",
           "[dispatch]") {
-  Pool pool(LongRunning(3, 1));
+  TestPool pool(LongRunning(3, 1));
   pool.AddServer("s1").vacating = true;
   pool.AddServer("s2");
   pool.AddRun(0, "s1", 60);
   pool.AddRun(1, "s2", 100);  // The third task is not running.
-  REQUIRE(pool.Stops() == 0);
+  REQUIRE(pool.ReviewAndCountStops() == 0);
   pool.AddRun(2, "s2", 100);
-  REQUIRE(pool.Stops() == 1);
+  REQUIRE(pool.ReviewAndCountStops() == 1);
 }
 
-// Guards against tasks that wait for the end of a server that leaves anyway.
-TEST_CASE("long-running tasks leave a draining server at once", "[dispatch]") {
-  Pool pool(LongRunning(3, 1));
+// Guards against tasks that stay on a draining server until it ends. The budget
+// does not apply, since the server leaves in any case.
+TEST_CASE("long-running tasks on a draining server are stopped at once",
+          "[dispatch]") {
+  TestPool pool(LongRunning(3, 1));
   pool.AddServer("s1").listing.draining = true;
   pool.AddRun(0, "s1", 100);
   pool.AddRun(1, "s1", 100);
-  REQUIRE(pool.Stops() == 2);
+  REQUIRE(pool.ReviewAndCountStops() == 2);
 }
 
-// Guards against runs that stand still for good, as on a server that hangs.
-TEST_CASE("a run without progress is moved", "[dispatch]") {
+// Guards against runs that stall forever, as on a server that hangs.
+TEST_CASE("a stalled run is stopped and its server quarantined", "[dispatch]") {
   StepSpec step;
   step.request = {1000, 100, 0};
   step.estimate = Milliseconds(500);
-  Pool pool(step);
+  TestPool pool(step);
   pool.AddServer("s1");
   Run& run = pool.AddRun(0, "s1", 40);
-  REQUIRE(pool.Stops() == 0);
+  REQUIRE(pool.ReviewAndCountStops() == 0);
   run.phase_since = run.progress_changed_at = kNow - Seconds(3);
-  REQUIRE(pool.Stops() == 1);
+  REQUIRE(pool.ReviewAndCountStops() == 1);
   REQUIRE(pool.state_.servers.Find(ServerId("s1"))->quarantined_until > kNow);
 }
 
-// Guards against a plan that starts a task twice or exceeds a server's room.
-TEST_CASE("ready tasks are planned within the room", "[dispatch]") {
+// Guards against a plan that starts a task twice or exceeds the free resources
+// of a server.
+TEST_CASE("ready tasks are planned once, within the free resources",
+          "[dispatch]") {
   Outbox outbox;
   StepSpec step;
   step.count = 5;
   step.request = {6000, 100, 0};
   step.estimate = Milliseconds(500);
-  Pool pool(step);
+  TestPool pool(step);
   pool.AddServer("s1");
-  pool.dispatch_.Plan(kNow, outbox);
+  pool.dispatch_.PlanReadyTasks(kNow, outbox);
   REQUIRE(pool.state_.planned[JobId("j")].size() == 2);
-  pool.dispatch_.Plan(kNow, outbox);
+  pool.dispatch_.PlanReadyTasks(kNow, outbox);
   REQUIRE(pool.state_.planned[JobId("j")].size() == 2);
   REQUIRE(pool.state_.servers.Find(ServerId("s1"))->Room().cpu_millis == 4000);
 }
 
-// Members of a gang start together or not at all.
-TEST_CASE("a gang is planned whole or not at all", "[dispatch]") {
+TEST_CASE("a gang is planned only if all its tasks fit", "[dispatch]") {
   Outbox outbox;
   StepSpec step;
   step.count = 3;
   step.request = {6000, 100, 0};
   step.gang = true;
-  Pool pool(step);
+  TestPool pool(step);
   pool.AddServer("s1");
-  pool.dispatch_.Plan(kNow, outbox);
+  pool.dispatch_.PlanReadyTasks(kNow, outbox);
   REQUIRE(pool.state_.planned.empty());
   pool.AddServer("s2");
-  pool.dispatch_.Plan(kNow, outbox);
+  pool.dispatch_.PlanReadyTasks(kNow, outbox);
   REQUIRE(pool.state_.planned[JobId("j")].size() == 3);
 }
 
-// Queues with advice start only where the adviser admits them, are asked for
-// once and carry the ticket.
-TEST_CASE("a step with advice waits for its tickets", "[dispatch]") {
+// Guards against starts on servers that the placement adviser has not admitted,
+// and against a request to the adviser with each plan.
+TEST_CASE("a step that needs advice is planned only on admitted servers",
+          "[dispatch]") {
   StepSpec step;
   step.count = 2;
   step.request = {1000, 100, 0};
-  Pool pool(step);
+  TestPool pool(step);
   pool.AddServer("s1");
   pool.AddServer("s2");
   pool.state_.queues[QueueId("q")].needs_advice = true;
   Outbox outbox;
-  pool.dispatch_.Plan(kNow, outbox);
-  pool.dispatch_.Plan(kNow, outbox);
+  pool.dispatch_.PlanReadyTasks(kNow, outbox);
+  pool.dispatch_.PlanReadyTasks(kNow, outbox);
   REQUIRE(pool.state_.planned.empty());
   std::vector<JobAction> actions = outbox.TakeAllActions();
   REQUIRE(actions.size() == 1);
-  const auto& ask = std::get<PlacementAdviceRequest>(actions[0]);
-  REQUIRE(ask.servers.size() == 2);
+  const auto& advice_request = std::get<PlacementAdviceRequest>(actions[0]);
+  REQUIRE(advice_request.servers.size() == 2);
   REQUIRE(pool.state_.advice.OnReply(
-      kNow, {ask.tag, true, {{ServerId("s2"), "ticket"}}, Seconds(3)}));
-  pool.dispatch_.Plan(kNow, outbox);
+      kNow,
+      {advice_request.tag, true, {{ServerId("s2"), "ticket"}}, Seconds(3)}));
+  pool.dispatch_.PlanReadyTasks(kNow, outbox);
   REQUIRE(pool.state_.planned[JobId("j")].size() == 2);
   TaskId task{JobId("j"), 0, 0, 0};
   REQUIRE(pool.state_.jobs.FindTask(task)->runs[0].server == ServerId("s2"));
@@ -185,41 +195,42 @@
   REQUIRE(pool.state_.advice.TicketFor(task, ServerId("s2")).empty());
 }
 
-// Guards against a task that never ends since each server that it comes to is
-// emptied in its turn: one was stopped 39 times in 40 s.
-TEST_CASE("a task is moved off emptied servers a few times only",
-          "[dispatch]") {
+// Guards against a task that never ends because each server that it is moved to
+// is emptied next: one task was stopped 39 times in 40 s.
+TEST_CASE("a task is moved off emptied servers at most twice", "[dispatch]") {
   StepSpec step;
   step.request = {1000, 100, 0};
   step.estimate = Milliseconds(500);
   step.checkpointing = true;
-  Pool pool(step);
+  TestPool pool(step);
   size_t stops = 0;
   for (const char* name : {"s1", "s2", "s3", "s4", "s5"}) {
     ServerState& server = pool.AddServer(name);
     server.vacating = true;
     server.vacate_started_at = kNow;
     pool.AddRun(0, name, 2);
-    stops += pool.Stops();
+    stops += pool.ReviewAndCountStops();
     pool.state_.jobs.FindTask({JobId("j"), 0, 0, 0})->runs.clear();
   }
   REQUIRE(stops == 2);
-  // A server that leaves for good takes the work with it.
+  // The limit does not apply to a draining server: the work would be lost with
+  // the server.
   pool.AddServer("s6").listing.draining = true;
   pool.AddRun(0, "s6", 2);
-  REQUIRE(pool.Stops() == 1);
+  REQUIRE(pool.ReviewAndCountStops() == 1);
 }
 
-// Guards against tasks that are started anew on other servers since their step
-// takes longer than the caller's estimate: 582 of 20,000 on a calm day. A task
-// that lags behind the others of its step is moved.
-TEST_CASE("a step's own progress tells how long its tasks take", "[dispatch]") {
+// Guards against tasks that are moved to other servers only because their step
+// takes longer than the caller's estimate: 582 of 20,000 tasks on a day without
+// disturbances.
+TEST_CASE("a task is moved only if it is slower than its siblings",
+          "[dispatch]") {
   StepSpec step;
   step.count = 4;
   step.request = {1000, 100, 0};
   step.estimate = Milliseconds(300);
-  auto stops = [&](uint32_t first_percent, uint32_t other_percent) {
-    Pool pool(step);
+  auto count_stops = [&](uint32_t first_percent, uint32_t other_percent) {
+    TestPool pool(step);
     const char* names[] = {"s1", "s2", "s3", "s4"};
     for (uint32_t i = 0; i < 4; ++i) {
       pool.AddServer(names[i]).slowness = 2.5;
@@ -229,10 +240,10 @@
       run.phase_since = run.start_sent_at =
           kNow - Milliseconds(first ? 1200 : 1000);
     }
-    return pool.Stops();
+    return pool.ReviewAndCountStops();
   };
-  REQUIRE(stops(50, 50) == 0);
-  REQUIRE(stops(5, 95) == 1);
+  REQUIRE(count_stops(50, 50) == 0);
+  REQUIRE(count_stops(5, 95) == 1);
 }
 
 }  // namespace
