--- a/radishmoor/jobs/pool_scheduler.cc
+++ b/radishmoor/jobs/pool_scheduler.cc
@@ -189,7 +189,7 @@
        {"jobs", static_cast<int64_t>(state_.jobs.size())},
        {"open", static_cast<int64_t>(state_.jobs.open().size())},
        {"inherited_runs", static_cast<int64_t>(inherited)},
-       {"took_ms", WholeMilliseconds(now - options_.lease_taken)}});
+       {"took_ms", WholeMilliseconds(now - options_.lease_taken_at)}});
   loading_.progress.clear();
   runs_.Wake(now);
   next_inbox_poll_at_ = now + kInboxPeriod;
--- a/radishmoor/jobs/pool_scheduler.h
+++ b/radishmoor/jobs/pool_scheduler.h
@@ -45,7 +45,7 @@
   // sent.
   FencingToken token = 0;
   RowVersion lease_version = 0;
-  Time lease_taken;
+  Time lease_taken_at;
   // All leases that earlier owners of the pool gave to backend servers have
   // expired by this time.
   Time earlier_leases_until;
