--- a/radishmoor/jobs/fleet_coordinator.cc
+++ b/radishmoor/jobs/fleet_coordinator.cc
@@ -210,7 +210,7 @@
   return false;
 }
 
-bool FleetCoordinator::wants_hosts() const {
+bool FleetCoordinator::needs_host_list() const {
   return rows_loaded_;
 }
 
--- a/radishmoor/jobs/fleet_coordinator.h
+++ b/radishmoor/jobs/fleet_coordinator.h
@@ -88,7 +88,7 @@
   // `sent`.
   void OnHosts(Time sent, std::span<const HostListing> hosts, Outbox& outbox);
   // Returns true once the rows of earlier coordinators have been read.
-  bool wants_hosts() const;
+  bool needs_host_list() const;
   // Starts and advances operations and sends what is due. `contacts` holds the
   // pool owners with a recent heartbeat.
   void Tick(Time now,
--- a/radishmoor/jobs/messages.h
+++ b/radishmoor/jobs/messages.h
@@ -310,7 +310,8 @@
 
 enum class VacateState : uint8_t {
   kEmptying,
-  // The owner starts nothing there for kVacateHold after this answer.
+  // The owner starts nothing there for kVacateRequestLifetime after this
+  // answer.
   kEmpty,
   kUnknownServer,
 };
--- a/radishmoor/jobs/node_core.cc
+++ b/radishmoor/jobs/node_core.cc
@@ -209,10 +209,10 @@
   Settle(now, wall);
 }
 
-void NodeCore::Resumed(Time now, WallMillis wall) {
+void NodeCore::OnProcessResumed(Time now, WallMillis wall) {
   outbox_.LogDecision("process-resumed", {});
   for (auto& [pool, scheduler] : schedulers_)
-    scheduler->Resumed();
+    scheduler->OnProcessResumed();
   Settle(now, wall);
 }
 
@@ -506,9 +506,10 @@
 void NodeCore::ReadServers(Time now) {
   if (schedulers_.empty() || !IsDue(now, servers_tag_, next_servers_))
     return;
-  bool short_of = std::any_of(
-      schedulers_.begin(), schedulers_.end(),
-      [now](const auto& entry) { return entry.second->expects_servers(now); });
+  bool short_of = std::any_of(schedulers_.begin(), schedulers_.end(),
+                              [now](const auto& entry) {
+                                return entry.second->is_short_of_servers(now);
+                              });
   Duration period = std::clamp(
       kServersPeriodPerServer * static_cast<int64_t>(servers_.size()),
       kServersPeriod, kMaxServersPeriod);
@@ -538,9 +539,9 @@
 }
 
 void NodeCore::ListHosts(Time now) {
-  bool wanted = fleet_ != nullptr && fleet_->wants_hosts();
+  bool wanted = fleet_ != nullptr && fleet_->needs_host_list();
   for (const auto& [pool, scheduler] : schedulers_)
-    wanted = wanted || scheduler->wants_hosts(now);
+    wanted = wanted || scheduler->needs_host_list(now);
   if (!wanted || !IsDue(now, hosts_tag_, next_hosts_))
     return;
   next_hosts_ = now + kHostsPeriod;
--- a/radishmoor/jobs/node_core.h
+++ b/radishmoor/jobs/node_core.h
@@ -58,7 +58,7 @@
   void OnPeer(Time now, WallMillis wall, const JobPeerEnvelope& envelope);
   void Tick(Time now, WallMillis wall);
   // The process was suspended for a while that the clock does not show.
-  void Resumed(Time now, WallMillis wall);
+  void OnProcessResumed(Time now, WallMillis wall);
   // Hands over what the process owns and ends.
   void Shutdown(Time now, WallMillis wall);
 
--- a/radishmoor/jobs/pool_scheduler.cc
+++ b/radishmoor/jobs/pool_scheduler.cc
@@ -31,7 +31,7 @@
 // this long.
 constexpr Duration kMaxRenewalAgeForAnswers = Milliseconds(1000);
 // A request to empty a server expires after this time unless it is repeated.
-constexpr Duration kVacateHold = Seconds(3);
+constexpr Duration kVacateRequestLifetime = Seconds(3);
 constexpr Duration kPoolLoadLogPeriod = Seconds(1);
 constexpr Duration kPurgePeriod = Seconds(10);
 constexpr size_t kPurgeBatchJobs = 20;
@@ -422,7 +422,7 @@
   runs_.Wake(now);
 }
 
-bool PoolScheduler::wants_hosts(Time now) const {
+bool PoolScheduler::needs_host_list(Time now) const {
   if (!loaded())
     return false;
   for (const auto& [id, server] : state_.servers.all()) {
@@ -570,7 +570,7 @@
         // A server that stopped answering while it was emptied has moved away,
         // so it stays marked.
         if (server.vacating && server.failed_polls == 0 &&
-            now - server.vacate_requested_at > kVacateHold)
+            now - server.vacate_requested_at > kVacateRequestLifetime)
           server.vacating = false;
       }
       dispatch_.ReviewRunningTasks(now, outbox);
@@ -641,7 +641,7 @@
   chain_.Release(successor);
 }
 
-void PoolScheduler::Resumed() {
+void PoolScheduler::OnProcessResumed() {
   chain_.set_renewed(chain_.renewed() - kUnrenewedLeaseExtension);
 }
 
@@ -680,7 +680,7 @@
   return capacity;
 }
 
-bool PoolScheduler::expects_servers(Time now) const {
+bool PoolScheduler::is_short_of_servers(Time now) const {
   return loaded() &&
          needed_cores(now) * 1000 >
              kShortageDemandShare * static_cast<double>(CapacityCpuMillis());
--- a/radishmoor/jobs/pool_scheduler.h
+++ b/radishmoor/jobs/pool_scheduler.h
@@ -66,7 +66,7 @@
                Outbox& outbox);
   // True if a server with runs does not answer. The platform's list of hosts
   // shows whether the server still exists.
-  bool wants_hosts(Time now) const;
+  bool needs_host_list(Time now) const;
   void OnServers(Time now,
                  std::span<const ServerListing> listings,
                  Outbox& outbox);
@@ -106,7 +106,7 @@
   // Tells the scheduler that the process was suspended. Leases of servers are
   // not extended again before a commit has shown that this process still owns
   // the pool.
-  void Resumed();
+  void OnProcessResumed();
 
   OwnerHeartbeat MakeHeartbeat(Time now) const;
   // Cores that the pool needs: those of running and ready tasks, or those that
@@ -114,7 +114,7 @@
   double needed_cores(Time now) const;
   // True if the pool needs most of the cores of its servers or more, so that
   // new servers may be on their way.
-  bool expects_servers(Time now) const;
+  bool is_short_of_servers(Time now) const;
   bool loaded() const { return loading_.stage == LoadStage::kDone; }
   const JobPoolState& state() const { return state_; }
   FencingToken token() const { return state_.token; }
--- a/radishmoor/jobs/run_control.cc
+++ b/radishmoor/jobs/run_control.cc
@@ -122,7 +122,7 @@
                       {"run", static_cast<int64_t>(ref.run)},
                       {"server", run->server.str()},
                       {"waited_ms", WholeMilliseconds(now - task->ready_since)},
-                      {"free_cpu", server->Room().cpu_millis}});
+                      {"free_cpu", server->FreeResources().cpu_millis}});
 }
 
 void RunControl::RequestStop(Time now,
--- a/radishmoor/jobs/server_table.h
+++ b/radishmoor/jobs/server_table.h
@@ -96,7 +96,7 @@
   bool Serves(const PoolId& pool) const {
     return listed && listing.pool == pool && !listing.draining;
   }
-  Resources Room() const {
+  Resources FreeResources() const {
     Resources room = listing.capacity;
     room -= used;
     return room;
--- a/radishmoor/jobs/task_dispatch.cc
+++ b/radishmoor/jobs/task_dispatch.cc
@@ -73,7 +73,7 @@
     s.rack = server.listing.rack;
     s.labels = server.listing.labels;
     s.capacity = server.listing.capacity;
-    s.free_resources = server.Room();
+    s.free_resources = server.FreeResources();
     s.slowness = server.slowness;
     s.trusted = server.failure_score < 1 ||
                 now - server.last_success <= kMaxTrustedSuccessAge;
--- a/radishmoor/jobs/testing/fleet_coordinator_test.cc
+++ b/radishmoor/jobs/testing/fleet_coordinator_test.cc
@@ -68,7 +68,7 @@
   void Run(Duration length) {
     for (Time end = now_ + length; now_ < end; now_ += kTickPeriod) {
       coordinator_->Tick(now_, Contacts(), outbox_);
-      if (coordinator_->wants_hosts())
+      if (coordinator_->needs_host_list())
         coordinator_->OnHosts(now_, hosts_, outbox_);
       for (int round = 0; round < 4; ++round) {
         for (JobAction& action : outbox_.TakeAllActions())
--- a/radishmoor/jobs/testing/task_dispatch_test.cc
+++ b/radishmoor/jobs/testing/task_dispatch_test.cc
@@ -145,7 +145,9 @@
   REQUIRE(pool.state_.planned[JobId("j")].size() == 2);
   pool.dispatch_.PlanReadyTasks(kNow, outbox);
   REQUIRE(pool.state_.planned[JobId("j")].size() == 2);
-  REQUIRE(pool.state_.servers.Find(ServerId("s1"))->Room().cpu_millis == 4000);
+  REQUIRE(
+      pool.state_.servers.Find(ServerId("s1"))->FreeResources().cpu_millis ==
+      4000);
 }
 
 TEST_CASE("a gang is planned only if all its tasks fit", "[dispatch]") {
@@ -189,7 +191,9 @@
   REQUIRE(pool.state_.planned[JobId("j")].size() == 2);
   TaskId task{JobId("j"), 0, 0, 0};
   REQUIRE(pool.state_.jobs.FindTask(task)->runs[0].server == ServerId("s2"));
-  REQUIRE(pool.state_.servers.Find(ServerId("s2"))->Room().cpu_millis == 14000);
+  REQUIRE(
+      pool.state_.servers.Find(ServerId("s2"))->FreeResources().cpu_millis ==
+      14000);
   REQUIRE(pool.state_.advice.TicketFor(task, ServerId("s2")) == "ticket");
   pool.state_.advice.Drop(task, ServerId("s2"));
   REQUIRE(pool.state_.advice.TicketFor(task, ServerId("s2")).empty());
