--- a/radishmoor/jobs/job_peer_codec.cc
+++ b/radishmoor/jobs/job_peer_codec.cc
@@ -8,137 +8,141 @@
 namespace radishmoor {
 namespace {
 
-// To the wire, one overload for each message.
-
-void Put(const OwnerHeartbeat& m, jobs_wire::Envelope& envelope) {
-  jobs_wire::OwnerBeat w;
-  w.pool = m.pool.str();
-  w.token = static_cast<int64_t>(m.token);
-  w.lease_version = static_cast<int64_t>(m.lease_version);
-  w.renewed_age_ms = WholeMilliseconds(m.renewed_age);
-  for (const QueueLoad& load : m.queues) {
-    jobs_wire::QueueLoad q;
-    q.queue = load.queue.str();
-    q.pending = static_cast<int32_t>(load.pending);
-    q.wait_ms = WholeMilliseconds(load.wait);
-    w.queues.push_back(std::move(q));
+// Sets the envelope's field for one kind of message.
+
+void SetMessage(const OwnerHeartbeat& message, jobs_wire::Envelope& envelope) {
+  jobs_wire::OwnerBeat wire;
+  wire.pool = message.pool.str();
+  wire.token = static_cast<int64_t>(message.token);
+  wire.lease_version = static_cast<int64_t>(message.lease_version);
+  wire.renewed_age_ms = WholeMilliseconds(message.renewed_age);
+  for (const QueueLoad& load : message.queues) {
+    jobs_wire::QueueLoad wire_load;
+    wire_load.queue = load.queue.str();
+    wire_load.pending = static_cast<int32_t>(load.pending);
+    wire_load.wait_ms = WholeMilliseconds(load.wait);
+    wire.queues.push_back(std::move(wire_load));
   }
-  w.released = m.released;
-  w.successor = m.successor.str();
-  w.demand_cores = m.demand_cores;
-  w.offered_cores = m.offered_cores;
-  w.capacity_cores = m.capacity_cores;
-  w.silent_servers = static_cast<int32_t>(m.silent_servers);
-  for (const ZoneId& zone : m.silent_zones)
-    w.silent_zones.push_back(zone.str());
-  w.servers = static_cast<int32_t>(m.servers);
-  w.min_servers = static_cast<int32_t>(m.min_servers);
-  for (const ServerId& server : m.spare_servers)
-    w.spare_servers.push_back(server.str());
-  envelope.__set_owner_beat(w);
+  wire.released = message.released;
+  wire.successor = message.successor.str();
+  wire.demand_cores = message.demand_cores;
+  wire.offered_cores = message.offered_cores;
+  wire.capacity_cores = message.capacity_cores;
+  wire.silent_servers = static_cast<int32_t>(message.silent_servers);
+  for (const ZoneId& zone : message.silent_zones)
+    wire.silent_zones.push_back(zone.str());
+  wire.servers = static_cast<int32_t>(message.servers);
+  wire.min_servers = static_cast<int32_t>(message.min_servers);
+  for (const ServerId& server : message.spare_servers)
+    wire.spare_servers.push_back(server.str());
+  envelope.__set_owner_beat(wire);
 }
 
-void Put(const JobNotice& m, jobs_wire::Envelope& envelope) {
-  jobs_wire::JobNotice w;
-  w.pool = m.pool.str();
-  w.job = m.job.str();
-  w.definition = JobToWire(m.spec);
-  w.age_ms = WholeMilliseconds(m.age);
-  w.request = static_cast<int64_t>(m.request);
-  envelope.__set_job_notice(w);
+void SetMessage(const JobNotice& message, jobs_wire::Envelope& envelope) {
+  jobs_wire::JobNotice wire;
+  wire.pool = message.pool.str();
+  wire.job = message.job.str();
+  wire.definition = JobToWire(message.spec);
+  wire.age_ms = WholeMilliseconds(message.age);
+  wire.request = static_cast<int64_t>(message.request);
+  envelope.__set_job_notice(wire);
 }
 
-void Put(const JobQuery& m, jobs_wire::Envelope& envelope) {
-  jobs_wire::JobQuery w;
-  w.request = static_cast<int64_t>(m.request);
-  w.pool = m.pool.str();
-  w.job = m.job.str();
-  w.cancel = m.cancel;
-  envelope.__set_job_query(w);
+void SetMessage(const JobQuery& message, jobs_wire::Envelope& envelope) {
+  jobs_wire::JobQuery wire;
+  wire.request = static_cast<int64_t>(message.request);
+  wire.pool = message.pool.str();
+  wire.job = message.job.str();
+  wire.cancel = message.cancel;
+  envelope.__set_job_query(wire);
 }
 
-void Put(const JobAnswer& m, jobs_wire::Envelope& envelope) {
-  jobs_wire::JobAnswer w;
-  w.request = static_cast<int64_t>(m.request);
-  w.state = static_cast<int32_t>(m.state);
-  envelope.__set_job_answer(w);
+void SetMessage(const JobAnswer& message, jobs_wire::Envelope& envelope) {
+  jobs_wire::JobAnswer wire;
+  wire.request = static_cast<int64_t>(message.request);
+  wire.state = static_cast<int32_t>(message.state);
+  envelope.__set_job_answer(wire);
 }
 
-void Put(const VacateRequest& m, jobs_wire::Envelope& envelope) {
-  jobs_wire::VacateRequest w;
-  w.pool = m.pool.str();
-  w.server = m.server.str();
-  w.withdraw = m.withdraw;
-  envelope.__set_vacate_request(w);
+void SetMessage(const VacateRequest& message, jobs_wire::Envelope& envelope) {
+  jobs_wire::VacateRequest wire;
+  wire.pool = message.pool.str();
+  wire.server = message.server.str();
+  wire.withdraw = message.withdraw;
+  envelope.__set_vacate_request(wire);
 }
 
-void Put(const VacateAnswer& m, jobs_wire::Envelope& envelope) {
-  jobs_wire::VacateAnswer w;
-  w.pool = m.pool.str();
-  w.server = m.server.str();
-  w.state = static_cast<int32_t>(m.state);
-  w.token = static_cast<int64_t>(m.token);
-  envelope.__set_vacate_answer(w);
+void SetMessage(const VacateAnswer& message, jobs_wire::Envelope& envelope) {
+  jobs_wire::VacateAnswer wire;
+  wire.pool = message.pool.str();
+  wire.server = message.server.str();
+  wire.state = static_cast<int32_t>(message.state);
+  wire.token = static_cast<int64_t>(message.token);
+  envelope.__set_vacate_answer(wire);
 }
 
-// From the wire.
-
-OwnerHeartbeat From(const jobs_wire::OwnerBeat& w) {
-  OwnerHeartbeat m;
-  m.pool = PoolId(w.pool);
-  m.token = static_cast<FencingToken>(w.token);
-  m.lease_version = static_cast<RowVersion>(w.lease_version);
-  m.renewed_age = Milliseconds(w.renewed_age_ms);
-  for (const jobs_wire::QueueLoad& q : w.queues) {
-    m.queues.push_back({QueueId(q.queue), static_cast<uint32_t>(q.pending),
-                        Milliseconds(q.wait_ms)});
+OwnerHeartbeat HeartbeatFromWire(const jobs_wire::OwnerBeat& wire) {
+  OwnerHeartbeat message;
+  message.pool = PoolId(wire.pool);
+  message.token = static_cast<FencingToken>(wire.token);
+  message.lease_version = static_cast<RowVersion>(wire.lease_version);
+  message.renewed_age = Milliseconds(wire.renewed_age_ms);
+  for (const jobs_wire::QueueLoad& wire_load : wire.queues) {
+    message.queues.push_back({QueueId(wire_load.queue),
+                              static_cast<uint32_t>(wire_load.pending),
+                              Milliseconds(wire_load.wait_ms)});
   }
-  m.released = w.released;
-  m.successor = MemberId(w.successor);
-  m.demand_cores = w.demand_cores;
-  m.offered_cores = w.offered_cores;
-  m.capacity_cores = w.capacity_cores;
-  m.silent_servers = static_cast<uint32_t>(w.silent_servers);
-  for (const std::string& zone : w.silent_zones)
-    m.silent_zones.emplace_back(zone);
-  m.servers = static_cast<uint32_t>(w.servers);
-  m.min_servers = static_cast<uint32_t>(w.min_servers);
-  for (const std::string& server : w.spare_servers)
-    m.spare_servers.emplace_back(server);
-  return m;
+  message.released = wire.released;
+  message.successor = MemberId(wire.successor);
+  message.demand_cores = wire.demand_cores;
+  message.offered_cores = wire.offered_cores;
+  message.capacity_cores = wire.capacity_cores;
+  message.silent_servers = static_cast<uint32_t>(wire.silent_servers);
+  for (const std::string& zone : wire.silent_zones)
+    message.silent_zones.emplace_back(zone);
+  message.servers = static_cast<uint32_t>(wire.servers);
+  message.min_servers = static_cast<uint32_t>(wire.min_servers);
+  for (const std::string& server : wire.spare_servers)
+    message.spare_servers.emplace_back(server);
+  return message;
 }
 
-std::optional<JobPeerMessage> MessageOf(const jobs_wire::Envelope& e) {
-  if (e.__isset.owner_beat)
-    return From(e.owner_beat);
-  if (e.__isset.job_notice) {
-    const jobs_wire::JobNotice& w = e.job_notice;
-    return JobNotice{PoolId(w.pool), JobId(w.job), JobFromWire(w.definition),
-                     Milliseconds(w.age_ms), static_cast<uint64_t>(w.request)};
+std::optional<JobPeerMessage> MessageFromWire(
+    const jobs_wire::Envelope& envelope) {
+  if (envelope.__isset.owner_beat)
+    return HeartbeatFromWire(envelope.owner_beat);
+  if (envelope.__isset.job_notice) {
+    const jobs_wire::JobNotice& wire = envelope.job_notice;
+    return JobNotice{PoolId(wire.pool), JobId(wire.job),
+                     JobFromWire(wire.definition), Milliseconds(wire.age_ms),
+                     static_cast<uint64_t>(wire.request)};
   }
-  if (e.__isset.job_query) {
-    const jobs_wire::JobQuery& w = e.job_query;
-    return JobQuery{static_cast<uint64_t>(w.request), PoolId(w.pool),
-                    JobId(w.job), w.cancel};
+  if (envelope.__isset.job_query) {
+    const jobs_wire::JobQuery& wire = envelope.job_query;
+    return JobQuery{static_cast<uint64_t>(wire.request), PoolId(wire.pool),
+                    JobId(wire.job), wire.cancel};
   }
-  if (e.__isset.job_answer) {
-    const jobs_wire::JobAnswer& w = e.job_answer;
-    if (w.state < 0 || w.state > static_cast<int>(JobAnswerState::kUnknown))
+  if (envelope.__isset.job_answer) {
+    const jobs_wire::JobAnswer& wire = envelope.job_answer;
+    if (wire.state < 0 ||
+        wire.state > static_cast<int>(JobAnswerState::kUnknown))
       return std::nullopt;
-    return JobAnswer{static_cast<uint64_t>(w.request),
-                     static_cast<JobAnswerState>(w.state)};
+    return JobAnswer{static_cast<uint64_t>(wire.request),
+                     static_cast<JobAnswerState>(wire.state)};
   }
-  if (e.__isset.vacate_request) {
-    const jobs_wire::VacateRequest& w = e.vacate_request;
-    return VacateRequest{PoolId(w.pool), ServerId(w.server), w.withdraw};
+  if (envelope.__isset.vacate_request) {
+    const jobs_wire::VacateRequest& wire = envelope.vacate_request;
+    return VacateRequest{PoolId(wire.pool), ServerId(wire.server),
+                         wire.withdraw};
   }
-  if (e.__isset.vacate_answer) {
-    const jobs_wire::VacateAnswer& w = e.vacate_answer;
-    if (w.state < 0 || w.state > static_cast<int>(VacateState::kUnknownServer))
+  if (envelope.__isset.vacate_answer) {
+    const jobs_wire::VacateAnswer& wire = envelope.vacate_answer;
+    if (wire.state < 0 ||
+        wire.state > static_cast<int>(VacateState::kUnknownServer))
       return std::nullopt;
-    return VacateAnswer{PoolId(w.pool), ServerId(w.server),
-                        static_cast<VacateState>(w.state),
-                        static_cast<FencingToken>(w.token)};
+    return VacateAnswer{PoolId(wire.pool), ServerId(wire.server),
+                        static_cast<VacateState>(wire.state),
+                        static_cast<FencingToken>(wire.token)};
   }
   return std::nullopt;
 }
@@ -149,7 +153,7 @@
   jobs_wire::Envelope wire;
   wire.sender = envelope.sender.str();
   wire.address = envelope.address;
-  std::visit([&wire](const auto& message) { Put(message, wire); },
+  std::visit([&wire](const auto& message) { SetMessage(message, wire); },
              envelope.message);
   return ToBytes(wire);
 }
@@ -158,7 +162,7 @@
   jobs_wire::Envelope wire;
   if (!FromBytes(bytes, wire))
     return std::nullopt;
-  std::optional<JobPeerMessage> message = MessageOf(wire);
+  std::optional<JobPeerMessage> message = MessageFromWire(wire);
   if (!message)
     return std::nullopt;
   return JobPeerEnvelope{MemberId(wire.sender), wire.address,
--- a/radishmoor/jobs/job_peer_codec.h
+++ b/radishmoor/jobs/job_peer_codec.h
@@ -1,5 +1,5 @@
-// Encoding of messages between the scheduler's processes: Thrift's compact
-// protocol by the schema idl/jobs.thrift.
+// Encoding of messages between scheduler processes, in Thrift's compact
+// protocol with the schema idl/jobs.thrift.
 
 #ifndef RADISHMOOR_JOBS_JOB_PEER_CODEC_H_
 #define RADISHMOOR_JOBS_JOB_PEER_CODEC_H_
@@ -14,13 +14,13 @@
 
 struct JobPeerEnvelope {
   MemberId sender;
-  std::string address;  // Where the sender can be reached.
+  std::string address;  // Where other scheduler processes reach the sender.
   JobPeerMessage message;
 };
 
 std::string EncodeJobPeer(const JobPeerEnvelope& envelope);
 
-// Nothing for bytes that are no valid envelope.
+// Returns nullopt for bytes that do not encode a valid envelope.
 std::optional<JobPeerEnvelope> DecodeJobPeer(std::string_view bytes);
 
 }  // namespace radishmoor
--- a/radishmoor/jobs/job_rows.cc
+++ b/radishmoor/jobs/job_rows.cc
@@ -9,11 +9,11 @@
 namespace {
 
 std::string Key(std::string_view table,
-                const std::string& part,
+                const std::string& partition,
                 std::string_view name) {
   std::string key;
-  key.reserve(table.size() + part.size() + name.size() + 2);
-  key.append(table).append("/").append(part).append("/").append(name);
+  key.reserve(table.size() + partition.size() + name.size() + 2);
+  key.append(table).append("/").append(partition).append("/").append(name);
   return key;
 }
 
@@ -23,7 +23,7 @@
   kColocated = 4,
   kSpeculative = 8,
   kLongRunning = 16,
-  kUsesSpare = 32,
+  kBestEffort = 32,
 };
 
 int32_t FlagsOf(const StepSpec& step) {
@@ -33,7 +33,7 @@
   flags |= step.colocated ? kColocated : 0;
   flags |= step.speculative ? kSpeculative : 0;
   flags |= step.long_running ? kLongRunning : 0;
-  flags |= step.best_effort ? kUsesSpare : 0;
+  flags |= step.best_effort ? kBestEffort : 0;
   return flags;
 }
 
@@ -66,7 +66,7 @@
   step.colocated = (wire.flags & kColocated) != 0;
   step.speculative = (wire.flags & kSpeculative) != 0;
   step.long_running = (wire.flags & kLongRunning) != 0;
-  step.best_effort = (wire.flags & kUsesSpare) != 0;
+  step.best_effort = (wire.flags & kBestEffort) != 0;
   step.requirement = wire.requirement;
   step.data_rack = RackId(wire.data_rack);
   step.max_per_server = static_cast<uint32_t>(wire.max_per_server);
--- a/radishmoor/jobs/job_rows.h
+++ b/radishmoor/jobs/job_rows.h
@@ -1,16 +1,18 @@
 // The scheduler's rows in the table service and their encoding.
 //
-//   jobs/<pool>/<job>      the definition; a short mark once the job has ended
+//   jobs/<pool>/<job>      definition of a job; a tombstone after its end
 //   progress/<pool>/<job>  state, tasks and runs; written by the pool's owner
-//   inbox/<pool>/s:<job>   a stored job that the owner has not taken up yet
-//   inbox/<pool>/c:<job>   a cancellation that the owner has not taken up yet
-//   owner/<pool>/lease     the pool's owner; every commit of the owner expects
-//                          and rewrites it, so that the commits form a chain
-//   nodes//<node>          processes of the scheduler
-//   duties/<pool>/<host>   calls to the host API that may be under way
-//   duties/<pool>/w<wave>:<host>  hosts whose maintenance is done
+//   inbox/<pool>/s:<job>   submission that the owner has not read yet
+//   inbox/<pool>/c:<job>   cancellation that the owner has not read yet
+//   owner/<pool>/lease     lease of the pool's owner; every commit of the owner
+//                          expects and rewrites it, which makes a commit chain
+//   nodes//<node>          scheduler processes
+//   duties/<pool>/<host>   host operation whose call to the host API may be in
+//                          progress
+//   duties/<pool>/w<wave>:<host>  host whose maintenance in a wave is done
 //
-// The middle part of a key names the partition: a transaction stays within one.
+// The middle part of a key names the partition. A transaction writes the rows
+// of one partition only.
 
 #ifndef RADISHMOOR_JOBS_JOB_ROWS_H_
 #define RADISHMOOR_JOBS_JOB_ROWS_H_
@@ -25,25 +27,28 @@
 
 namespace radishmoor {
 
-// With an empty id, the key is the prefix of the rows of its kind.
+// Given an empty id as the last argument, each of these functions returns the
+// common prefix of its keys.
 std::string JobKey(const PoolId& pool, const JobId& job);
 std::string ProgressKey(const PoolId& pool, const JobId& job);
+// `kind` is kInboxSubmitted or kInboxCancelled.
 std::string InboxKey(const PoolId& pool, char kind, const JobId& job);
 std::string InboxPrefix(const PoolId& pool);
 std::string OwnerLeaseKey(const PoolId& pool);
 std::string NodeKey(const MemberId& node);
 std::string HostOperationKey(const PoolId& pool, const HostId& host);
-// Of a host's maintenance in a wave, once it was carried out.
+// Key of the row that records that a host's maintenance in a wave is done.
 std::string MaintainedKey(const PoolId& pool,
                           const HostId& host,
                           uint64_t wave);
-// The last part of a key.
+// Returns what follows the last slash of the key.
 std::string_view LastKeyPart(std::string_view key);
 
 inline constexpr char kInboxSubmitted = 's';
 inline constexpr char kInboxCancelled = 'c';
 
-// The value of a job's row after its end: its definition is no longer needed.
+// Value of a job's row after the job's end, in place of the definition, which
+// is no longer needed.
 inline constexpr std::string_view kEndedJobTombstone = "ended";
 
 struct StoredRun {
@@ -52,39 +57,42 @@
 };
 
 struct StoredTask {
-  uint32_t position = 0;  // Within its occurrence, over all steps.
+  uint32_t position = 0;  // Within the occurrence, over the tasks of all steps.
   bool done = false;
   uint32_t failures = 0;
   RunNumber last_run = 0;
   std::string checkpoint;
-  // Started, or about to be, and not known to have ended.
+  // Runs that were started, or will be after this row is stored, and are not
+  // known to have ended.
   std::vector<StoredRun> runs;
 };
 
 struct StoredOccurrence {
   uint32_t number = 0;
-  std::vector<StoredTask> tasks;  // Those that differ from a new task.
+  std::vector<StoredTask> tasks;  // Tasks in their initial state are left out.
 };
 
 struct StoredProgress {
   JobState state = JobState::kQueued;
   bool begun = false;
-  uint32_t finished_below = 0;  // All earlier occurrences have ended.
+  // All occurrences with lower numbers have ended.
+  uint32_t finished_below = 0;
   std::vector<StoredOccurrence> occurrences;
 };
 
 struct LeaseRow {
   MemberId holder;
-  std::string address;  // Of the holder, for messages of other processes.
+  std::string address;  // Where other scheduler processes reach the holder.
   FencingToken token = 0;
-  uint64_t sequence = 0;  // Of the holder's commits.
+  uint64_t sequence = 0;  // Number of the holder's commit that wrote this row.
   bool released = false;
-  MemberId successor;  // With `released`: who should take it.
-  // How long after this row was written leases may last that owners before the
-  // holder gave to backend servers.
+  // If `released`: the process that should acquire the lease; empty for any.
+  MemberId successor;
+  // How long after this row was written leases of backend servers may last that
+  // were granted by owners before the holder.
   Duration earlier_leases{};
-  // The store's clock when the row was sent, or somewhat earlier; zero if the
-  // holder did not know it.
+  // The store's clock when the holder sent the row, or somewhat earlier. Zero
+  // if the holder did not know it.
   Duration store_clock{};
 };
 
@@ -94,7 +102,7 @@
   ZoneId zone;
   uint64_t incarnation = 0;
   bool leaving = false;
-  uint32_t capacity = 0;  // Share of a processor, in thousandths.
+  uint32_t capacity = 0;  // Processor share in thousandths of a core.
 };
 
 enum class HostOperationKind : uint8_t {
@@ -106,12 +114,12 @@
 struct HostOperationRow {
   HostId host;
   HostOperationKind kind = HostOperationKind::kMaintain;
-  PoolId pool;        // Of a move: where to.
-  uint64_t wave = 0;  // Of maintenance.
-  ServerId server;    // That ends by the call.
+  PoolId pool;        // kMove: the pool that the host moves to.
+  uint64_t wave = 0;  // kMaintain and kMaintained.
+  ServerId server;    // The backend server that the operation ends.
 };
 
-// Decoding gives nothing for bytes that are no such row.
+// The decoders return nullopt for bytes that do not encode a valid row.
 std::string EncodeJob(const JobSpec& spec);
 std::optional<JobSpec> DecodeJob(std::string_view bytes);
 std::string EncodeProgress(const StoredProgress& progress);
--- a/radishmoor/jobs/job_wire.h
+++ b/radishmoor/jobs/job_wire.h
@@ -1,5 +1,5 @@
-// Conversion of a job's definition to and from its generated struct. Only for
-// the .cc files of this slice.
+// Conversion of a job's definition to and from its generated Thrift struct. To
+// be included by the .cc files of radishmoor/jobs only.
 
 #ifndef RADISHMOOR_JOBS_JOB_WIRE_H_
 #define RADISHMOOR_JOBS_JOB_WIRE_H_
--- a/radishmoor/jobs/node_core.cc
+++ b/radishmoor/jobs/node_core.cc
@@ -6,52 +6,58 @@
 namespace radishmoor {
 namespace {
 
-// The store holds an answer back this long when nothing has changed; a silent
-// connection is noticed soon after.
-constexpr Duration kOperatorsWait = Milliseconds(450);
-constexpr Duration kFullReadPeriod = Seconds(5);
-constexpr Duration kOperatorsRetry = Milliseconds(150);
+// The store delays its answer by up to this time if nothing has changed. Kept
+// short so that a connection without answers is noticed soon.
+constexpr Duration kOperatorWatchWait = Milliseconds(450);
+// The configuration and all waves are read in full this often, in case a change
+// was missed.
+constexpr Duration kFullOperatorReadPeriod = Seconds(5);
+constexpr Duration kOperatorWatchRetryDelay = Milliseconds(150);
 constexpr Duration kOwnerHeartbeatPeriod = Milliseconds(300);
-// Between announcements the coordinator hears of a rise by this factor and so
-// many cores.
-constexpr double kRiseFactor = 1.25;
-constexpr double kRiseCores = 24;
-constexpr Duration kRiseGap = Milliseconds(60);
-constexpr Duration kRegisterPeriod = Seconds(15);
-constexpr Duration kRegisterRetry = Milliseconds(300);
-constexpr Duration kNodesPeriod = Seconds(4);
-constexpr Duration kFirstNodesPeriod = Milliseconds(500);
-// Rows of processes that have not been renewed for this long are passed over.
+// A pool's heartbeat is sent to the fleet coordinator out of turn if its demand
+// exceeds the last announced one by this factor plus this number of cores, at
+// most once per interval.
+constexpr double kDemandRiseFactor = 1.25;
+constexpr double kDemandRiseCores = 24;
+constexpr Duration kMinDemandRiseInterval = Milliseconds(60);
+constexpr Duration kRegistrationPeriod = Seconds(15);
+constexpr Duration kRegistrationRetryDelay = Milliseconds(300);
+constexpr Duration kNodeScanPeriod = Seconds(4);
+// Used until a second process is known.
+constexpr Duration kFirstNodeScanPeriod = Milliseconds(500);
+// A process whose row has not changed for this long counts as gone.
 constexpr Duration kNodeExpiry = Seconds(40);
-constexpr Duration kServersPeriod = Milliseconds(500);
-constexpr Duration kHostsPeriod = Milliseconds(500);
-// The list of many servers is long, so it is read less often.
-constexpr Duration kServersPeriodPerServer = Milliseconds(3);
-constexpr Duration kMaxServersPeriod = Milliseconds(1200);
-// While a pool lacks servers: those on their way are seen soon after they come.
-constexpr Duration kShortServersPeriod = Milliseconds(300);
-constexpr Duration kFleetTickGap = Milliseconds(20);
-constexpr Duration kServersRetry = Milliseconds(200);
-// After the signal to stop, callers with open connections are served this long.
-constexpr Duration kServeAfterStop = Milliseconds(3000);
-// The store counts as lost, for the log, when no call succeeds for this long.
-constexpr Duration kStoreLost = Milliseconds(500);
-// Before the end of the grace period; open calls are given up then.
-constexpr Duration kEndMargin = Milliseconds(1500);
-// For the answers to these calls to be sent.
+constexpr Duration kMinServerListPeriod = Milliseconds(500);
+constexpr Duration kHostListPeriod = Milliseconds(500);
+// A list of many servers is long, so the period grows with their number.
+constexpr Duration kServerListPeriodPerServer = Milliseconds(3);
+constexpr Duration kMaxServerListPeriod = Milliseconds(1200);
+// Used while a pool expects additional servers, so that their arrival is
+// noticed soon.
+constexpr Duration kShortageServerListPeriod = Milliseconds(300);
+constexpr Duration kMinFleetTickInterval = Milliseconds(20);
+constexpr Duration kServerListRetryDelay = Milliseconds(200);
+// After Shutdown(), callers with open connections are still served this long.
+constexpr Duration kServeAfterShutdown = Milliseconds(3000);
+// The store counts as lost if no call has succeeded for this long.
+constexpr Duration kStoreLostAfter = Milliseconds(500);
+// Open calls are ended with an answer this long before the end of the grace
+// period.
+constexpr Duration kShutdownMargin = Milliseconds(1500);
+// Time allowed for sending those last answers.
 constexpr Duration kLastAnswersTime = Milliseconds(100);
 
-// When the last lease has lapsed that an earlier owner of the pool may have
-// given to a server.
+// Returns the time by which all leases have expired that earlier owners of the
+// pool may have granted to backend servers.
 Time EarlierLeasesUntil(const AcquiredLease& lease) {
   Duration length = JobPoolState::kLease + JobPoolState::kLeaseSlack;
   if (lease.first_owner)
     return kTimeZero;
-  Time earlier = lease.renewed_before + lease.earlier_leases;
-  if (lease.released)
-    return std::max(earlier, lease.sent + length);
-  return std::max(earlier,
-                  lease.renewed_before + kUnrenewedLeaseExtension + length);
+  Time earlier = lease.last_renewed_before + lease.earlier_leases;
+  if (lease.was_released)
+    return std::max(earlier, lease.sent_at + length);
+  return std::max(
+      earlier, lease.last_renewed_before + kUnrenewedLeaseExtension + length);
 }
 
 }  // namespace
@@ -68,17 +74,17 @@
        {"zone", options_.zone.str()},
        {"address", options_.address},
        {"incarnation", static_cast<int64_t>(options_.incarnation)}});
-  Settle(now, wall);
+  RunPendingWork(now, wall);
 }
 
 void NodeCore::OnCall(Time now, WallMillis wall, JobCall call) {
   request_handler_.OnCall(now, wall, std::move(call), outbox_);
-  Settle(now, wall);
+  RunPendingWork(now, wall);
 }
 
 void NodeCore::OnAbandoned(Time now, WallMillis wall, JobCallId call) {
   request_handler_.OnAbandoned(call);
-  Settle(now, wall);
+  RunPendingWork(now, wall);
 }
 
 void NodeCore::OnStoreAnswer(Time now,
@@ -86,14 +92,15 @@
                              const StoreAnswer& answer) {
   bool failed = std::holds_alternative<UnavailableReply>(answer.reply) ||
                 std::holds_alternative<UnknownReply>(answer.reply);
-  NoteStore(now, !failed);
-  if (register_tag_ != 0 && answer.tag == register_tag_) {
-    register_tag_ = 0;
-    next_register_ = now + (failed ? kRegisterRetry : kRegisterPeriod);
-  } else if (nodes_tag_ != 0 && answer.tag == nodes_tag_) {
-    nodes_tag_ = 0;
+  RecordStoreAnswer(now, !failed);
+  if (registration_tag_ != 0 && answer.tag == registration_tag_) {
+    registration_tag_ = 0;
+    next_registration_ =
+        now + (failed ? kRegistrationRetryDelay : kRegistrationPeriod);
+  } else if (node_scan_tag_ != 0 && answer.tag == node_scan_tag_) {
+    node_scan_tag_ = 0;
     if (const auto* rows = std::get_if<RowsReply>(&answer.reply))
-      OnNodes(now, rows->rows);
+      OnNodeRows(now, rows->rows);
   } else if (!request_handler_.OnStoreAnswer(now, answer, outbox_) &&
              !leases_.OnStoreAnswer(now, answer, outbox_) &&
              (fleet_ == nullptr || !fleet_->OnStoreAnswer(now, answer))) {
@@ -102,7 +109,7 @@
         break;
     }
   }
-  Settle(now, wall);
+  RunPendingWork(now, wall);
 }
 
 void NodeCore::OnServerReply(Time now,
@@ -112,38 +119,38 @@
     if (scheduler->OnServerReply(now, reply, outbox_))
       break;
   }
-  Settle(now, wall);
+  RunPendingWork(now, wall);
 }
 
 void NodeCore::OnServers(Time now, WallMillis wall, const ServersReply& reply) {
-  if (servers_tag_ != reply.tag)
+  if (server_list_tag_ != reply.tag)
     return;
-  servers_tag_ = 0;
+  server_list_tag_ = 0;
   if (!reply.answered) {
-    next_servers_ = now + kServersRetry;
+    next_server_list_ = now + kServerListRetryDelay;
   } else {
     servers_ = reply.servers;
     for (auto& [pool, scheduler] : schedulers_)
       scheduler->OnServers(now, servers_, outbox_);
   }
-  Settle(now, wall);
+  RunPendingWork(now, wall);
 }
 
 void NodeCore::OnOperatorChanges(Time now,
                                  WallMillis wall,
                                  const OperatorChanges& reply) {
-  if (operators_tag_ != reply.tag)
+  if (operator_watch_tag_ != reply.tag)
     return;
-  operators_tag_ = 0;
+  operator_watch_tag_ = 0;
   if (reply.answered || !reply.history_truncated)
-    NoteStore(now, reply.answered);
+    RecordStoreAnswer(now, reply.answered);
   if (!reply.answered) {
-    operators_version_ = 0;
-    operators_retry_ = now + kOperatorsRetry;
-    Settle(now, wall);
+    operator_version_ = 0;
+    next_operator_watch_ = now + kOperatorWatchRetryDelay;
+    RunPendingWork(now, wall);
     return;
   }
-  operators_version_ = reply.version;
+  operator_version_ = reply.version;
   if (reply.config && reply.config->version > config_.version) {
     config_ = *reply.config;
     outbox_.LogDecision(
@@ -156,36 +163,37 @@
       scheduler->OnConfig(config_);
     if (fleet_ != nullptr)
       fleet_->OnConfig(config_);
-    leases_.Watch(now, WatchedPools());
+    leases_.WatchPools(now, WatchedPools());
   }
   std::vector<ObservedWave> waves;
   for (const MaintenanceWave& wave : reply.waves) {
     auto [it, inserted] = waves_.try_emplace(wave.number);
     it->second.plan = wave;
-    // A wave from before the start of this process may have no time left.
+    // A wave that existed before this process started may have used up all of
+    // its time.
     if (inserted)
-      it->second.first_seen_at = operators_known_ ? now : now - wave.length;
+      it->second.first_seen_at = operators_loaded_ ? now : now - wave.length;
     waves.push_back(it->second);
   }
-  operators_known_ = true;
+  operators_loaded_ = true;
   if (fleet_ != nullptr)
     fleet_->OnWaves(waves, outbox_);
-  Settle(now, wall);
+  RunPendingWork(now, wall);
 }
 
 void NodeCore::OnHostReply(Time now, WallMillis wall, const HostReply& reply) {
-  if (hosts_tag_ != 0 && reply.tag == hosts_tag_) {
-    hosts_tag_ = 0;
+  if (host_list_tag_ != 0 && reply.tag == host_list_tag_) {
+    host_list_tag_ = 0;
     if (reply.outcome == HostOutcome::kDone) {
       for (auto& [pool, scheduler] : schedulers_)
-        scheduler->OnHosts(now, hosts_sent_, reply.hosts, outbox_);
+        scheduler->OnHosts(now, host_list_sent_at_, reply.hosts, outbox_);
       if (fleet_ != nullptr)
-        fleet_->OnHosts(hosts_sent_, reply.hosts, outbox_);
+        fleet_->OnHosts(host_list_sent_at_, reply.hosts, outbox_);
     }
   } else if (fleet_ != nullptr) {
     fleet_->OnHostReply(now, reply, outbox_);
   }
-  Settle(now, wall);
+  RunPendingWork(now, wall);
 }
 
 void NodeCore::OnAdvice(Time now,
@@ -195,30 +203,30 @@
     if (scheduler->OnAdvice(now, reply))
       break;
   }
-  Settle(now, wall);
+  RunPendingWork(now, wall);
 }
 
 void NodeCore::OnPeer(Time now,
                       WallMillis wall,
                       const JobPeerEnvelope& envelope) {
-  Dispatch(now, envelope.sender, envelope.address, envelope.message);
-  Settle(now, wall);
+  DispatchPeerMessage(now, envelope.sender, envelope.address, envelope.message);
+  RunPendingWork(now, wall);
 }
 
 void NodeCore::Tick(Time now, WallMillis wall) {
-  Settle(now, wall);
+  RunPendingWork(now, wall);
 }
 
 void NodeCore::Resumed(Time now, WallMillis wall) {
   outbox_.LogDecision("process-resumed", {});
   for (auto& [pool, scheduler] : schedulers_)
     scheduler->Resumed();
-  Settle(now, wall);
+  RunPendingWork(now, wall);
 }
 
 void NodeCore::Shutdown(Time now, WallMillis wall) {
-  if (!shutdown_) {
-    shutdown_ = now;
+  if (!shutdown_started_at_) {
+    shutdown_started_at_ = now;
     outbox_.LogDecision("process-stopping",
                         {{"pools", static_cast<int64_t>(schedulers_.size())}});
     leases_.StopAcquiring();
@@ -227,26 +235,25 @@
     if (fleet_ != nullptr)
       fleet_->Release(MemberId());
   }
-  Settle(now, wall);
+  RunPendingWork(now, wall);
 }
 
 bool NodeCore::ready(Time now) const {
   bool store_lost =
-      store_silent_since_ && now - *store_silent_since_ > kStoreLost;
-  return config_.version != 0 && !shutdown_ && !store_lost;
+      store_silent_since_ && now - *store_silent_since_ > kStoreLostAfter;
+  return config_.version != 0 && !shutdown_started_at_ && !store_lost;
 }
 
 bool NodeCore::accepts_connections(Time now) const {
-  return !shutdown_ || now - *shutdown_ < kServeAfterStop;
+  return !shutdown_started_at_ ||
+         now - *shutdown_started_at_ < kServeAfterShutdown;
 }
 
-// Messages.
-
-void NodeCore::Dispatch(Time now,
-                        const MemberId& from,
-                        const std::string& address,
-                        const JobPeerMessage& message) {
-  auto find = [this](const PoolId& pool) -> PoolScheduler* {
+void NodeCore::DispatchPeerMessage(Time now,
+                                   const MemberId& from,
+                                   const std::string& address,
+                                   const JobPeerMessage& message) {
+  auto find_scheduler = [this](const PoolId& pool) -> PoolScheduler* {
     auto it = schedulers_.find(pool);
     return it == schedulers_.end() ? nullptr : it->second.get();
   };
@@ -254,19 +261,19 @@
     leases_.OnOwnerHeartbeat(now, from, address, *heartbeat);
     ObserveDemand(now, *heartbeat);
   } else if (const auto* notice = std::get_if<JobNotice>(&message)) {
-    if (PoolScheduler* scheduler = find(notice->pool))
+    if (PoolScheduler* scheduler = find_scheduler(notice->pool))
       scheduler->OnJobNotice(now, from, address, *notice, outbox_);
     else if (notice->request != 0)
       outbox_.SendToPeer(from, address, JobAnswer{notice->request});
   } else if (const auto* query = std::get_if<JobQuery>(&message)) {
-    if (PoolScheduler* scheduler = find(query->pool))
+    if (PoolScheduler* scheduler = find_scheduler(query->pool))
       scheduler->OnJobQuery(now, from, address, *query, outbox_);
     else
       outbox_.SendToPeer(from, address, JobAnswer{query->request});
   } else if (const auto* answer = std::get_if<JobAnswer>(&message)) {
     request_handler_.OnJobAnswer(now, *answer, outbox_);
   } else if (const auto* request = std::get_if<VacateRequest>(&message)) {
-    if (PoolScheduler* scheduler = find(request->pool))
+    if (PoolScheduler* scheduler = find_scheduler(request->pool))
       scheduler->OnVacateRequest(now, from, address, *request, outbox_);
   } else if (const auto* vacated = std::get_if<VacateAnswer>(&message)) {
     if (fleet_ != nullptr)
@@ -274,20 +281,19 @@
   }
 }
 
-void NodeCore::DeliverLocal(Time now) {
-  // A message to this process may cause another one; the chains are short.
+void NodeCore::DeliverLocalMessages(Time now) {
+  // A message to this process may cause another one. Such chains are short, so
+  // a few rounds deliver all of them.
   constexpr int kMaxRounds = 4;
   for (int round = 0; round < kMaxRounds; ++round) {
     std::vector<JobPeerMessage> local = outbox_.TakeMessagesTo(options_.name);
     if (local.empty())
       return;
     for (const JobPeerMessage& message : local)
-      Dispatch(now, options_.name, options_.address, message);
+      DispatchPeerMessage(now, options_.name, options_.address, message);
   }
 }
 
-// Ownership.
-
 std::vector<PoolId> NodeCore::WatchedPools() const {
   std::vector<PoolId> pools{PoolId(kFleetPseudoPool)};
   for (const PoolConfig& pool : config_.pools) {
@@ -300,8 +306,8 @@
   return pools;
 }
 
-void NodeCore::TakeOver(Time now) {
-  for (const AcquiredLease& lease : leases_.TakeAcquired()) {
+void NodeCore::StartAcquiredPools(Time now) {
+  for (const AcquiredLease& lease : leases_.TakeAcquiredLeases()) {
     if (lease.pool.str() == kFleetPseudoPool) {
       FleetCoordinatorOptions options;
       options.node = options_.name;
@@ -309,7 +315,7 @@
       options.bounds = options_.bounds;
       options.token = lease.token;
       options.lease_version = lease.version;
-      options.lease_taken = lease.sent;
+      options.lease_taken = lease.sent_at;
       options.first_owner = lease.first_owner;
       fleet_ = std::make_unique<FleetCoordinator>(options, forecast_, outbox_);
       fleet_->OnConfig(config_);
@@ -325,17 +331,17 @@
       options.bounds = options_.bounds;
       options.token = lease.token;
       options.lease_version = lease.version;
-      options.lease_taken = lease.sent;
+      options.lease_taken = lease.sent_at;
       options.earlier_leases_until = EarlierLeasesUntil(lease);
       schedulers_[lease.pool] =
           std::make_unique<PoolScheduler>(options, config_, outbox_);
-      next_servers_ = now;
+      next_server_list_ = now;
     }
     next_owner_heartbeat_ = now;
   }
 }
 
-void NodeCore::DropLost(Time now) {
+void NodeCore::RemoveLostPools(Time now) {
   for (auto it = schedulers_.begin(); it != schedulers_.end();) {
     if (!it->second->lost() && !it->second->released()) {
       ++it;
@@ -347,7 +353,7 @@
                         {{"pool", it->first.str()},
                          {"token", static_cast<int64_t>(it->second->token())}});
     if (released)
-      Announce(now, heartbeat);
+      BroadcastHeartbeat(now, heartbeat);
     heartbeat.released = true;
     request_handler_.SetLocalHeartbeat(heartbeat, now);
     leases_.SetOwned(now, it->first, false);
@@ -355,22 +361,23 @@
   }
   if (fleet_ != nullptr && (fleet_->lost() || fleet_->released())) {
     if (fleet_->released())
-      Announce(now, fleet_->MakeHeartbeat(now));
+      BroadcastHeartbeat(now, fleet_->MakeHeartbeat(now));
     leases_.SetOwned(now, PoolId(kFleetPseudoPool), false);
     fleet_.reset();
   }
 }
 
-void NodeCore::Announce(Time now, const OwnerHeartbeat& heartbeat) {
+void NodeCore::BroadcastHeartbeat(Time now, const OwnerHeartbeat& heartbeat) {
   const PoolOwner* coordinator = leases_.OwnerOf(PoolId(kFleetPseudoPool));
-  OwnerHeartbeat brief = heartbeat;
-  brief.spare_servers.clear();
+  OwnerHeartbeat without_spares = heartbeat;
+  without_spares.spare_servers.clear();
   for (const auto& [name, node] : nodes_) {
     if (name == options_.name || node.row.leaving ||
-        now - node.changed >= kNodeExpiry)
+        now - node.changed_at >= kNodeExpiry)
       continue;
-    bool keeps = coordinator != nullptr && coordinator->node == name;
-    outbox_.SendToPeer(name, node.row.address, keeps ? heartbeat : brief);
+    bool is_coordinator = coordinator != nullptr && coordinator->node == name;
+    outbox_.SendToPeer(name, node.row.address,
+                       is_coordinator ? heartbeat : without_spares);
   }
 }
 
@@ -381,16 +388,16 @@
                     heartbeat.capacity_cores / heartbeat.servers);
 }
 
-void NodeCore::AnnounceRise(Time now) {
+void NodeCore::SendDemandRises(Time now) {
   const PoolOwner* coordinator = leases_.OwnerOf(PoolId(kFleetPseudoPool));
-  // A coordinator in this process asks the pools itself.
+  // A fleet coordinator in this process reads the demand of the pools directly.
   if (fleet_ != nullptr || coordinator == nullptr)
     return;
   for (const auto& [pool, scheduler] : schedulers_) {
-    AnnouncedNeed& announced = announced_needs_[pool];
+    AnnouncedDemand& announced = announced_demand_[pool];
     double cores = scheduler->needed_cores(now);
-    bool rose = cores > kRiseFactor * announced.cores + kRiseCores;
-    if (!rose || now - announced.at < kRiseGap)
+    bool rose = cores > kDemandRiseFactor * announced.cores + kDemandRiseCores;
+    if (!rose || now - announced.at < kMinDemandRiseInterval)
       continue;
     announced = {cores, now};
     outbox_.SendToPeer(coordinator->node, coordinator->address,
@@ -399,7 +406,7 @@
 }
 
 void NodeCore::SendOwnerHeartbeats(Time now) {
-  if (!HasOwned())
+  if (!OwnsAnyPool())
     return;
   if (now < next_owner_heartbeat_) {
     Wake(next_owner_heartbeat_);
@@ -411,15 +418,15 @@
     OwnerHeartbeat heartbeat = scheduler->MakeHeartbeat(now);
     request_handler_.SetLocalHeartbeat(heartbeat, now);
     ObserveDemand(now, heartbeat);
-    announced_needs_[pool] = {scheduler->needed_cores(now), now};
-    Announce(now, heartbeat);
+    announced_demand_[pool] = {scheduler->needed_cores(now), now};
+    BroadcastHeartbeat(now, heartbeat);
   }
   if (fleet_ != nullptr)
-    Announce(now, fleet_->MakeHeartbeat(now));
+    BroadcastHeartbeat(now, fleet_->MakeHeartbeat(now));
 }
 
-std::map<PoolId, PoolOwnerContact> NodeCore::Contacts(Time now) const {
-  constexpr Duration kMaxAge = Milliseconds(1500);
+std::map<PoolId, PoolOwnerContact> NodeCore::OwnerContacts(Time now) const {
+  constexpr Duration kMaxContactAge = Milliseconds(1500);
   std::map<PoolId, PoolOwnerContact> contacts;
   for (const PoolConfig& pool : config_.pools) {
     auto own = schedulers_.find(pool.id);
@@ -429,7 +436,8 @@
     if (own != schedulers_.end()) {
       contact.node = options_.name;
       heartbeat = own->second->MakeHeartbeat(now);
-    } else if (owner != nullptr && now - owner->last_heartbeat_at < kMaxAge) {
+    } else if (owner != nullptr &&
+               now - owner->last_heartbeat_at < kMaxContactAge) {
       contact.node = owner->node;
       contact.address = owner->address;
       heartbeat = owner->heartbeat;
@@ -442,8 +450,6 @@
   return contacts;
 }
 
-// Reading the platform.
-
 bool NodeCore::IsDue(Time now, uint64_t tag, Time at) {
   if (tag != 0)
     return false;
@@ -453,37 +459,42 @@
 }
 
 void NodeCore::WatchOperatorChanges(Time now) {
-  if (!IsDue(now, operators_tag_, operators_retry_))
+  if (!IsDue(now, operator_watch_tag_, next_operator_watch_))
     return;
-  // A reading of all that is there, now and then, finds what the changes left
-  // out.
-  if (now >= next_full_read_) {
-    next_full_read_ = now + kFullReadPeriod;
-    operators_version_ = 0;
+  // Version 0 asks for a full read.
+  if (now >= next_full_operator_read_) {
+    next_full_operator_read_ = now + kFullOperatorReadPeriod;
+    operator_version_ = 0;
   }
-  operators_tag_ = outbox_.WatchOperators(operators_version_, kOperatorsWait);
+  operator_watch_tag_ =
+      outbox_.WatchOperators(operator_version_, kOperatorWatchWait);
 }
 
 void NodeCore::RegisterNode(Time now) {
-  if (!IsDue(now, register_tag_, next_register_))
+  if (!IsDue(now, registration_tag_, next_registration_))
     return;
-  NodeRow row{options_.name,        options_.address,      options_.zone,
-              options_.incarnation, shutdown_.has_value(), options_.capacity};
+  NodeRow row{options_.name,
+              options_.address,
+              options_.zone,
+              options_.incarnation,
+              shutdown_started_at_.has_value(),
+              options_.capacity};
   Transaction transaction;
   transaction.writes.push_back({NodeKey(options_.name), EncodeNode(row)});
-  register_tag_ = outbox_.CallStore(CommitRows{std::move(transaction)});
+  registration_tag_ = outbox_.CallStore(CommitRows{std::move(transaction)});
 }
 
 void NodeCore::ScanNodes(Time now) {
-  if (!IsDue(now, nodes_tag_, next_nodes_))
+  if (!IsDue(now, node_scan_tag_, next_node_scan_))
     return;
-  next_nodes_ = now + (nodes_.size() < 2 ? kFirstNodesPeriod : kNodesPeriod);
+  next_node_scan_ =
+      now + (nodes_.size() < 2 ? kFirstNodeScanPeriod : kNodeScanPeriod);
   ScanRows scan;
   scan.prefix = NodeKey(MemberId());
-  nodes_tag_ = outbox_.CallStore(std::move(scan));
+  node_scan_tag_ = outbox_.CallStore(std::move(scan));
 }
 
-void NodeCore::OnNodes(Time now, const std::vector<Row>& rows) {
+void NodeCore::OnNodeRows(Time now, const std::vector<Row>& rows) {
   std::vector<LeaseCandidate> live;
   for (const Row& row : rows) {
     std::optional<NodeRow> decoded = DecodeNode(row.value);
@@ -494,29 +505,30 @@
     Node& node = nodes_[decoded->name];
     if (node.version != row.version) {
       node.version = row.version;
-      node.changed = now;
+      node.changed_at = now;
     }
     node.row = std::move(*decoded);
-    if (!node.row.leaving && now - node.changed < kNodeExpiry)
+    if (!node.row.leaving && now - node.changed_at < kNodeExpiry)
       live.push_back({node.row.name, node.row.capacity});
   }
-  leases_.SetNodes(live);
+  leases_.SetCandidates(live);
 }
 
-void NodeCore::ReadServers(Time now) {
-  if (schedulers_.empty() || !IsDue(now, servers_tag_, next_servers_))
+void NodeCore::RefreshServerList(Time now) {
+  if (schedulers_.empty() || !IsDue(now, server_list_tag_, next_server_list_))
     return;
-  bool short_of = std::any_of(
+  bool lacks_servers = std::any_of(
       schedulers_.begin(), schedulers_.end(),
       [now](const auto& entry) { return entry.second->expects_servers(now); });
   Duration period = std::clamp(
-      kServersPeriodPerServer * static_cast<int64_t>(servers_.size()),
-      kServersPeriod, kMaxServersPeriod);
-  next_servers_ = now + (short_of ? kShortServersPeriod : period);
-  servers_tag_ = outbox_.RequestServerList();
+      kServerListPeriodPerServer * static_cast<int64_t>(servers_.size()),
+      kMinServerListPeriod, kMaxServerListPeriod);
+  next_server_list_ =
+      now + (lacks_servers ? kShortageServerListPeriod : period);
+  server_list_tag_ = outbox_.RequestServerList();
 }
 
-void NodeCore::NoteStore(Time now, bool answered) {
+void NodeCore::RecordStoreAnswer(Time now, bool answered) {
   if (answered) {
     if (store_lost_logged_) {
       outbox_.LogDecision(
@@ -530,33 +542,34 @@
   }
   if (!store_silent_since_)
     store_silent_since_ = now;
-  request_handler_.SetStoreLost(now - *store_silent_since_ > kStoreLost);
-  if (!store_lost_logged_ && now - *store_silent_since_ > kStoreLost) {
+  request_handler_.SetStoreLost(now - *store_silent_since_ > kStoreLostAfter);
+  if (!store_lost_logged_ && now - *store_silent_since_ > kStoreLostAfter) {
     store_lost_logged_ = true;
     outbox_.LogDecision("store-lost", {});
   }
 }
 
-void NodeCore::ListHosts(Time now) {
+void NodeCore::RefreshHostList(Time now) {
   bool wanted = fleet_ != nullptr && fleet_->wants_hosts();
   for (const auto& [pool, scheduler] : schedulers_)
     wanted = wanted || scheduler->wants_hosts(now);
-  if (!wanted || !IsDue(now, hosts_tag_, next_hosts_))
+  if (!wanted || !IsDue(now, host_list_tag_, next_host_list_))
     return;
-  next_hosts_ = now + kHostsPeriod;
-  hosts_sent_ = now;
-  hosts_tag_ = outbox_.CallHostApi(0, radishmoor::ListHosts{});
+  next_host_list_ = now + kHostListPeriod;
+  host_list_sent_at_ = now;
+  host_list_tag_ = outbox_.CallHostApi(0, radishmoor::ListHosts{});
 }
 
 void NodeCore::TickShutdown(Time now) {
-  if (!shutdown_ || ended_)
+  if (!shutdown_started_at_ || ended_)
     return;
-  Duration stopping = now - *shutdown_;
-  Duration limit = options_.grace - kEndMargin;
+  Duration stopping = now - *shutdown_started_at_;
+  Duration limit = options_.grace - kShutdownMargin;
   bool unanswered = request_handler_.open_calls() > 0;
   if (stopping >= limit)
     request_handler_.EndCalls(outbox_);
-  bool served = stopping >= kServeAfterStop && !unanswered && !HasOwned();
+  bool served =
+      stopping >= kServeAfterShutdown && !unanswered && !OwnsAnyPool();
   bool over = stopping >= limit && !unanswered;
   if (served || over || stopping >= limit + kLastAnswersTime) {
     ended_ = true;
@@ -567,33 +580,34 @@
   Wake(now + Milliseconds(50));
 }
 
-void NodeCore::Settle(Time now, WallMillis wall) {
+void NodeCore::RunPendingWork(Time now, WallMillis wall) {
   next_wake_ = kTimeMax;
   leases_.Tick(now, outbox_);
-  TakeOver(now);
+  StartAcquiredPools(now);
   for (auto& [pool, scheduler] : schedulers_)
     scheduler->Tick(now, wall, outbox_);
-  if (fleet_ != nullptr && now - last_fleet_tick_ >= kFleetTickGap) {
+  if (fleet_ != nullptr && now - last_fleet_tick_ >= kMinFleetTickInterval) {
     last_fleet_tick_ = now;
-    fleet_->Tick(now, Contacts(now), outbox_);
+    fleet_->Tick(now, OwnerContacts(now), outbox_);
   }
   request_handler_.Tick(now, outbox_);
   SendOwnerHeartbeats(now);
-  AnnounceRise(now);
-  DeliverLocal(now);
-  DropLost(now);
+  SendDemandRises(now);
+  DeliverLocalMessages(now);
+  RemoveLostPools(now);
   WatchOperatorChanges(now);
   RegisterNode(now);
   ScanNodes(now);
-  ReadServers(now);
-  ListHosts(now);
+  RefreshServerList(now);
+  RefreshHostList(now);
   TickShutdown(now);
   Wake(leases_.next_wake());
   Wake(request_handler_.next_wake());
   for (auto& [pool, scheduler] : schedulers_)
     Wake(scheduler->next_wake());
   if (fleet_ != nullptr)
-    Wake(std::max(fleet_->next_wake(), last_fleet_tick_ + kFleetTickGap));
+    Wake(std::max(fleet_->next_wake(),
+                  last_fleet_tick_ + kMinFleetTickInterval));
 }
 
 }  // namespace radishmoor
--- a/radishmoor/jobs/node_core.h
+++ b/radishmoor/jobs/node_core.h
@@ -1,14 +1,16 @@
-// One process of the job scheduler without its input and output: takes callers'
-// requests, and owns pools and the fleet's host operations as leases come to
-// it.
+// The state machine of one scheduler process, without input and output. Handles
+// callers' requests, and runs the scheduler of each pool, and the fleet
+// coordinator, whose lease the process has acquired.
 //
 //   NodeCore core(options);
 //   core.Start(now, wall);
 //   core.OnCall(now, wall, call);
 //   for (JobAction& action : core.TakeActions()) ...
-//   loop.RunAt(core.next_wake(), ...);  // Tick
+//   loop.RunAt(core.next_wake(), ...);  // Calls core.Tick().
 //
-// Every method takes the time; answers come back by the tags of the actions.
+// Each event method takes the monotonic time `now` and the wall clock `wall` in
+// Unix milliseconds. The caller performs the actions of TakeActions() after
+// each event; the On...() method that reports a result passes the action's tag.
 
 #ifndef RADISHMOOR_JOBS_NODE_CORE_H_
 #define RADISHMOOR_JOBS_NODE_CORE_H_
@@ -30,13 +32,14 @@
 
 struct NodeOptions {
   MemberId name;
-  std::string address;  // For messages of other processes.
+  std::string address;  // Where other scheduler processes reach this one.
   ZoneId zone;
   uint64_t incarnation = 0;
-  // Share of a processor, in thousandths: larger hosts take pools first.
+  // Processor share of this process, in thousandths of a core. Processes with
+  // larger shares acquire pools first.
   uint32_t capacity = 0;
   PlatformBounds bounds;
-  // From the signal to stop until the process must have ended.
+  // The process ends within this time after Shutdown().
   Duration grace = Seconds(6);
 };
 
@@ -57,17 +60,22 @@
   void OnAdvice(Time now, WallMillis wall, const PlacementAdviceReply& reply);
   void OnPeer(Time now, WallMillis wall, const JobPeerEnvelope& envelope);
   void Tick(Time now, WallMillis wall);
-  // The process was suspended for a while that the clock does not show.
+  // Reports that the process was suspended for a time that the monotonic clock
+  // did not count.
   void Resumed(Time now, WallMillis wall);
-  // Hands over what the process owns and ends.
+  // Starts to release all owned leases to other processes, and ends the process
+  // within the grace period. Repeated calls have no effect.
   void Shutdown(Time now, WallMillis wall);
 
   std::vector<JobAction> TakeActions() { return outbox_.TakeAllActions(); }
   Time next_wake() const { return next_wake_; }
 
-  // New callers may come: without the store nothing can be accepted here, while
-  // processes elsewhere may reach it.
+  // Returns whether new callers should be sent to this process. False before it
+  // has a configuration, after Shutdown(), and while the store does not answer:
+  // it can accept no job then, but other processes may still reach the store.
   bool ready(Time now) const;
+  // Returns whether open connections are still served. Stays true for a few
+  // seconds after Shutdown().
   bool accepts_connections(Time now) const;
 
   const JobRequestHandler& request_handler() const { return request_handler_; }
@@ -79,78 +87,89 @@
   struct Node {
     NodeRow row;
     RowVersion version = 0;
-    Time changed;  // When its row was last seen to change.
+    Time changed_at;  // When this process last saw the row's version change.
   };
 
-  void Settle(Time now, WallMillis wall);
-  void Dispatch(Time now,
-                const MemberId& from,
-                const std::string& address,
-                const JobPeerMessage& message);
-  void DeliverLocal(Time now);
-  void TakeOver(Time now);
-  void DropLost(Time now);
+  // Runs after each event: advances all components, sends what is due, and
+  // computes next_wake_.
+  void RunPendingWork(Time now, WallMillis wall);
+  void DispatchPeerMessage(Time now,
+                           const MemberId& from,
+                           const std::string& address,
+                           const JobPeerMessage& message);
+  // Dispatches the messages that this process has sent to itself.
+  void DeliverLocalMessages(Time now);
+  // Starts the pool schedulers, and the fleet coordinator, whose leases were
+  // acquired.
+  void StartAcquiredPools(Time now);
+  // Removes schedulers, and the fleet coordinator, whose leases were lost or
+  // released.
+  void RemoveLostPools(Time now);
   void SendOwnerHeartbeats(Time now);
-  void Announce(Time now, const OwnerHeartbeat& heartbeat);
+  void BroadcastHeartbeat(Time now, const OwnerHeartbeat& heartbeat);
   void ObserveDemand(Time now, const OwnerHeartbeat& heartbeat);
-  // Tells the coordinator of a pool's demand at once when it has risen.
-  void AnnounceRise(Time now);
-  // A call can be made: the one before is answered (`tag` is 0), and `at` has
-  // come. Otherwise sees to being woken then.
+  // Sends the fleet coordinator an extra heartbeat of each pool whose demand
+  // has risen considerably since its last heartbeat.
+  void SendDemandRises(Time now);
+  // Returns whether the next request of a periodic kind can be sent: the
+  // previous one was answered (`tag` is 0) and the time `at` has come. Before
+  // `at`, schedules a wake-up for it.
   bool IsDue(Time now, uint64_t tag, Time at);
   void WatchOperatorChanges(Time now);
   void RegisterNode(Time now);
   void ScanNodes(Time now);
-  void OnNodes(Time now, const std::vector<Row>& rows);
-  void ReadServers(Time now);
-  void ListHosts(Time now);
-  void NoteStore(Time now, bool answered);
+  void OnNodeRows(Time now, const std::vector<Row>& rows);
+  void RefreshServerList(Time now);
+  void RefreshHostList(Time now);
+  // Updates store_silent_since_ after a call to the store.
+  void RecordStoreAnswer(Time now, bool answered);
   void TickShutdown(Time now);
-  std::map<PoolId, PoolOwnerContact> Contacts(Time now) const;
+  std::map<PoolId, PoolOwnerContact> OwnerContacts(Time now) const;
   std::vector<PoolId> WatchedPools() const;
-  bool HasOwned() const { return !schedulers_.empty() || fleet_ != nullptr; }
+  bool OwnsAnyPool() const { return !schedulers_.empty() || fleet_ != nullptr; }
   void Wake(Time at) { next_wake_ = std::min(next_wake_, at); }
 
   NodeOptions options_;
   Outbox outbox_;
   JobConfig config_;
-  // With the time since when each is known, which a later coordinator needs as
-  // well.
+  // By number. Recorded by every process, because a new fleet coordinator needs
+  // the times at which the waves were first seen.
   std::map<uint64_t, ObservedWave> waves_;
   PoolLeases leases_;
   JobRequestHandler request_handler_;
   std::map<PoolId, std::unique_ptr<PoolScheduler>> schedulers_;
-  // Each process follows the demand of all pools, so that a new coordinator
-  // knows whose turn is next.
+  // Every process observes the demand of all pools, so that a new fleet
+  // coordinator can predict at once which pool peaks next.
   PeakForecast forecast_;
   std::unique_ptr<FleetCoordinator> fleet_;
   std::map<MemberId, Node> nodes_;
 
-  uint64_t operators_tag_ = 0;
-  RowVersion operators_version_ = 0;
-  bool operators_known_ = false;  // All that was there at the start was read.
-  Time operators_retry_;
-  Time next_full_read_;
-  uint64_t register_tag_ = 0;
-  Time next_register_;
-  uint64_t nodes_tag_ = 0;
-  Time next_nodes_;
-  uint64_t servers_tag_ = 0;
-  Time next_servers_;
+  uint64_t operator_watch_tag_ = 0;
+  RowVersion operator_version_ = 0;
+  bool operators_loaded_ = false;  // The first full read has been answered.
+  Time next_operator_watch_;
+  Time next_full_operator_read_;
+  uint64_t registration_tag_ = 0;
+  Time next_registration_;
+  uint64_t node_scan_tag_ = 0;
+  Time next_node_scan_;
+  uint64_t server_list_tag_ = 0;
+  Time next_server_list_;
   std::vector<ServerListing> servers_;
-  uint64_t hosts_tag_ = 0;
-  Time hosts_sent_;
-  Time next_hosts_;
+  uint64_t host_list_tag_ = 0;
+  Time host_list_sent_at_;
+  Time next_host_list_;
   Time last_fleet_tick_;
   Time next_owner_heartbeat_;
-  struct AnnouncedNeed {
+  // Demand of a pool as the last heartbeat to the fleet coordinator had it.
+  struct AnnouncedDemand {
     double cores = 0;
     Time at;
   };
-  std::map<PoolId, AnnouncedNeed> announced_needs_;
-  std::optional<Time> shutdown_;
+  std::map<PoolId, AnnouncedDemand> announced_demand_;
+  std::optional<Time> shutdown_started_at_;
   bool ended_ = false;
-  // Since when the store has not answered, and whether that was logged.
+  // When the first call failed since the store last answered.
   std::optional<Time> store_silent_since_;
   bool store_lost_logged_ = false;
   Time next_wake_ = kTimeMax;
--- a/radishmoor/jobs/pool_leases.cc
+++ b/radishmoor/jobs/pool_leases.cc
@@ -8,31 +8,35 @@
 namespace radishmoor {
 namespace {
 
-// An owner renews at least every 400 ms; a lease that has not changed for three
-// times as long has no owner that can store anything.
-constexpr Duration kLeaseLength = Milliseconds(1200);
-// A slow store makes renewals late by the time that its answers take.
-constexpr int64_t kLatencyFactor = 6;
-// Announcements come every 300 ms; without two of them the row is read.
-constexpr Duration kQuietOwner = Milliseconds(700);
-// An owner that is heard but has not renewed for this long may be cut off from
-// the store.
-constexpr Duration kUnrenewedOwner = Milliseconds(1000);
+// An owner renews its lease at least every 400 ms. If the row has not changed
+// for three times as long, the owner cannot commit anything.
+constexpr Duration kOwnerLeaseLength = Milliseconds(1200);
+// A slow store delays renewals. The lease length is therefore extended by this
+// multiple of the latency of the last read.
+constexpr int64_t kReadLatencyFactor = 6;
+// Owners send heartbeats every 300 ms. After two missed ones the row is read.
+constexpr Duration kOwnerSilenceLimit = Milliseconds(700);
+// An owner that sends heartbeats but has not renewed its lease for this long
+// may be cut off from the store, so the row is read.
+constexpr Duration kOwnerUnrenewedLimit = Milliseconds(1000);
 constexpr Duration kReadPeriod = Milliseconds(300);
 constexpr Duration kReadTimeout = Milliseconds(800);
-constexpr Duration kTakeTimeout = Milliseconds(1200);
-// An owner repeats a failed commit within this time.
-constexpr Duration kReturnGrace = Milliseconds(500);
-// Of the processes that could take a lease, each waits for those before it.
+constexpr Duration kAcquireTimeout = Milliseconds(1200);
+// After a store outage an owner repeats its failed commit, which renews the
+// lease, within this time.
+constexpr Duration kStoreRecoveryGrace = Milliseconds(500);
+// Candidates acquire a lease in the order of their rank for the pool; each
+// waits this long for each candidate of a higher rank.
 constexpr Duration kRankDelay = Milliseconds(60);
 constexpr Duration kMaxRankDelay = Milliseconds(420);
-// A host that is smaller than others leaves them this time.
-constexpr Duration kSmallerDelay = Milliseconds(900);
-constexpr Duration kOwnedDelay = Milliseconds(250);
+// A process waits this much longer if another candidate has a larger processor
+// share.
+constexpr Duration kSmallerShareDelay = Milliseconds(900);
+constexpr Duration kDelayPerOwnedPool = Milliseconds(250);
 
 }  // namespace
 
-void PoolLeases::Watch(Time now, std::span<const PoolId> pools) {
+void PoolLeases::WatchPools(Time now, std::span<const PoolId> pools) {
   for (const PoolId& pool : pools) {
     auto [it, inserted] = pools_.try_emplace(pool);
     if (inserted)
@@ -40,8 +44,8 @@
   }
 }
 
-void PoolLeases::SetNodes(std::span<const LeaseCandidate> nodes) {
-  nodes_.assign(nodes.begin(), nodes.end());
+void PoolLeases::SetCandidates(std::span<const LeaseCandidate> candidates) {
+  candidates_.assign(candidates.begin(), candidates.end());
 }
 
 void PoolLeases::OnOwnerHeartbeat(Time now,
@@ -51,7 +55,7 @@
   auto it = pools_.find(heartbeat.pool);
   if (it == pools_.end() || it->second.owned)
     return;
-  Watched& watched = it->second;
+  WatchedPool& watched = it->second;
   if (watched.owner && watched.owner->heartbeat.token > heartbeat.token)
     return;  // From an earlier owner.
   watched.owner = PoolOwner{from, address, now, heartbeat};
@@ -60,11 +64,11 @@
     watched.unchanged_since = now - heartbeat.renewed_age;
     watched.renewed_at = watched.unchanged_since;
     watched.row.reset();
-    watched.read = false;
+    watched.row_read = false;
   }
   if (heartbeat.released) {
     watched.next_read = now;
-    watched.owner->last_heartbeat_at = now - kQuietOwner;
+    watched.owner->last_heartbeat_at = now - kOwnerSilenceLimit;
   }
 }
 
@@ -75,82 +79,85 @@
     if (watched.read_tag != 0 && answer.tag == watched.read_tag) {
       watched.read_tag = 0;
       if (const auto* rows = std::get_if<RowsReply>(&answer.reply)) {
-        read_latency_ = now - watched.read_sent;
+        read_latency_ = now - watched.read_sent_at;
         if (watched.read_failed)
-          watched.hold_until = now + kReturnGrace;
+          watched.hold_until = now + kStoreRecoveryGrace;
         watched.read_failed = false;
         if (!rows->rows.empty())
-          OnRead(now, pool, watched, rows->rows.front(), rows->clock);
+          OnRowRead(now, pool, watched, rows->rows.front(), rows->clock);
       } else {
         watched.read_failed = true;
       }
       return true;
     }
-    if (watched.take_tag == 0 || answer.tag != watched.take_tag)
+    if (watched.acquire_tag == 0 || answer.tag != watched.acquire_tag)
       continue;
-    watched.take_tag = 0;
+    watched.acquire_tag = 0;
     if (const auto* done = std::get_if<CommittedReply>(&answer.reply)) {
-      outbox.LogDecision("pool-taken",
-                         {{"pool", pool.str()},
-                          {"token", static_cast<int64_t>(watched.take_token)}});
-      OnTaken(now, pool, watched,
-              done->versions.empty() ? 0 : done->versions.front());
+      outbox.LogDecision(
+          "pool-taken",
+          {{"pool", pool.str()},
+           {"token", static_cast<int64_t>(watched.acquire_token)}});
+      OnLeaseAcquired(now, pool, watched,
+                      done->versions.empty() ? 0 : done->versions.front());
     } else {
-      // The next read tells who has it.
+      // The commit failed or its outcome is unknown. The next read shows who
+      // holds the lease.
       watched.next_read = now;
-      watched.read = false;
+      watched.row_read = false;
     }
     return true;
   }
   return false;
 }
 
-void PoolLeases::OnRead(Time now,
-                        const PoolId& pool,
-                        Watched& watched,
-                        const Row& row,
-                        std::optional<Duration> store_clock) {
+void PoolLeases::OnRowRead(Time now,
+                           const PoolId& pool,
+                           WatchedPool& watched,
+                           const Row& row,
+                           std::optional<Duration> store_clock) {
   if (watched.owned)
     return;
   std::optional<LeaseRow> lease = DecodeLease(row.value);
-  if (!watched.read || row.version != watched.version) {
+  if (!watched.row_read || row.version != watched.version) {
     bool same = row.version == watched.version && row.version != 0;
     if (!same)
       watched.unchanged_since = now;
     watched.version = row.version;
-    watched.take_after = now + StandBack(pool);
+    watched.acquire_not_before = now + AcquireDelay(pool);
     watched.renewed_at = watched.unchanged_since;
     if (store_clock && lease && lease->store_clock > Duration::zero()) {
-      Time stamped = now - (*store_clock - lease->store_clock);
-      watched.renewed_at = std::min(watched.renewed_at, stamped);
+      Time renewal_sent_at = now - (*store_clock - lease->store_clock);
+      watched.renewed_at = std::min(watched.renewed_at, renewal_sent_at);
     }
   }
   watched.store_clock = store_clock;
   watched.store_clock_at = now;
-  watched.read = true;
+  watched.row_read = true;
   watched.row = lease;
-  // A lease that this process took, with the answer lost.
-  bool own = lease && lease->holder == node_ && !lease->released &&
-             watched.take_token != 0 && lease->token == watched.take_token &&
-             lease->sequence == 0;
-  if (own)
-    OnTaken(now, pool, watched, row.version);
+  // This process has acquired the lease by a commit whose answer was lost.
+  bool acquired_here = lease && lease->holder == node_ && !lease->released &&
+                       watched.acquire_token != 0 &&
+                       lease->token == watched.acquire_token &&
+                       lease->sequence == 0;
+  if (acquired_here)
+    OnLeaseAcquired(now, pool, watched, row.version);
 }
 
-void PoolLeases::OnTaken(Time now,
-                         const PoolId& pool,
-                         Watched& watched,
-                         RowVersion version) {
+void PoolLeases::OnLeaseAcquired(Time now,
+                                 const PoolId& pool,
+                                 WatchedPool& watched,
+                                 RowVersion version) {
   watched.version = version;
   watched.unchanged_since = now;
-  acquired_.push_back({pool, watched.take_token, version, watched.take_sent,
-                       watched.take_first, watched.take_released,
-                       watched.take_renewed_before,
-                       watched.take_earlier_leases});
+  acquired_.push_back(
+      {pool, watched.acquire_token, version, watched.acquire_sent_at,
+       watched.acquire_as_first_owner, watched.acquire_was_released,
+       watched.acquire_renewed_before, watched.acquire_earlier_leases});
   SetOwned(now, pool, true);
 }
 
-std::vector<AcquiredLease> PoolLeases::TakeAcquired() {
+std::vector<AcquiredLease> PoolLeases::TakeAcquiredLeases() {
   return std::exchange(acquired_, {});
 }
 
@@ -158,14 +165,14 @@
   auto it = pools_.find(pool);
   if (it == pools_.end())
     return;
-  Watched& watched = it->second;
+  WatchedPool& watched = it->second;
   watched.owned = owned;
   watched.owner.reset();
-  watched.read = false;
+  watched.row_read = false;
   watched.unchanged_since = now;
   watched.renewed_at = now;
   watched.watched_since = now;
-  watched.take_token = 0;
+  watched.acquire_token = 0;
 }
 
 const PoolOwner* PoolLeases::OwnerOf(const PoolId& pool) const {
@@ -181,19 +188,19 @@
                     [](const auto& entry) { return entry.second.owned; }));
 }
 
-Duration PoolLeases::StandBack(const PoolId& pool) const {
+Duration PoolLeases::AcquireDelay(const PoolId& pool) const {
   uint64_t own = RendezvousWeight(pool.str(), node_.str());
   int64_t rank = 0;
-  bool smaller = false;
-  for (const LeaseCandidate& other : nodes_) {
-    smaller = smaller || other.capacity > capacity_;
+  bool has_smaller_share = false;
+  for (const LeaseCandidate& other : candidates_) {
+    has_smaller_share = has_smaller_share || other.capacity > capacity_;
     bool same = other.capacity == capacity_ && other.node != node_;
     if (same && RendezvousWeight(pool.str(), other.node.str()) > own)
       ++rank;
   }
   return std::min(kRankDelay * rank, kMaxRankDelay) +
-         kOwnedDelay * static_cast<int64_t>(OwnedCount()) +
-         (smaller ? kSmallerDelay : Duration::zero());
+         kDelayPerOwnedPool * static_cast<int64_t>(OwnedCount()) +
+         (has_smaller_share ? kSmallerShareDelay : Duration::zero());
 }
 
 void PoolLeases::Tick(Time now, Outbox& outbox) {
@@ -208,32 +215,33 @@
 
 void PoolLeases::TickPool(Time now,
                           const PoolId& pool,
-                          Watched& watched,
+                          WatchedPool& watched,
                           Outbox& outbox) {
   if (watched.owner && !watched.owner->heartbeat.released) {
-    Duration quiet = now - watched.owner->last_heartbeat_at;
-    Duration unrenewed = quiet + watched.owner->heartbeat.renewed_age;
-    if (quiet < kQuietOwner && unrenewed < kUnrenewedOwner) {
+    Duration silence = now - watched.owner->last_heartbeat_at;
+    Duration unrenewed = silence + watched.owner->heartbeat.renewed_age;
+    if (silence < kOwnerSilenceLimit && unrenewed < kOwnerUnrenewedLimit) {
       watched.next_read = now;
-      Wake(now + std::min(kQuietOwner - quiet, kUnrenewedOwner - unrenewed));
+      Wake(now + std::min(kOwnerSilenceLimit - silence,
+                          kOwnerUnrenewedLimit - unrenewed));
       return;
     }
   }
-  if (watched.take_tag != 0)
+  if (watched.acquire_tag != 0)
     return;
-  if (watched.read && watched.read_tag == 0) {
+  if (watched.row_read && watched.read_tag == 0) {
     bool vacant = watched.version == 0;
     bool released = watched.row && watched.row->released;
-    Time due =
-        watched.renewed_at + kLeaseLength + kLatencyFactor * read_latency_;
+    Time due = watched.renewed_at + kOwnerLeaseLength +
+               kReadLatencyFactor * read_latency_;
     if (vacant)
-      due = watched.take_after;
+      due = watched.acquire_not_before;
     if (released)
-      due = watched.row->successor == node_ ? now : watched.take_after;
+      due = watched.row->successor == node_ ? now : watched.acquire_not_before;
     else if (!vacant)
-      due = std::max(due, watched.hold_until) + StandBack(pool);
+      due = std::max(due, watched.hold_until) + AcquireDelay(pool);
     if (now >= due) {
-      Take(now, pool, watched, outbox);
+      AcquireLease(now, pool, watched, outbox);
       return;
     }
     Wake(due);
@@ -245,34 +253,34 @@
     return;
   }
   watched.next_read = now + kReadPeriod;
-  watched.read_sent = now;
+  watched.read_sent_at = now;
   watched.read_tag =
       outbox.CallStore(ReadRows{{OwnerLeaseKey(pool)}}, kReadTimeout);
   Wake(watched.next_read);
 }
 
-void PoolLeases::Take(Time now,
-                      const PoolId& pool,
-                      Watched& watched,
-                      Outbox& outbox) {
+void PoolLeases::AcquireLease(Time now,
+                              const PoolId& pool,
+                              WatchedPool& watched,
+                              Outbox& outbox) {
   LeaseRow lease;
   lease.holder = node_;
   lease.address = address_;
   lease.token = (watched.row ? watched.row->token : 0) + 1;
   if (watched.store_clock)
     lease.store_clock = *watched.store_clock + (now - watched.store_clock_at);
-  watched.take_token = lease.token;
-  watched.take_first = watched.version == 0;
-  watched.take_released = watched.row && watched.row->released;
-  watched.take_renewed_before = watched.unchanged_since;
-  watched.take_earlier_leases =
+  watched.acquire_token = lease.token;
+  watched.acquire_as_first_owner = watched.version == 0;
+  watched.acquire_was_released = watched.row && watched.row->released;
+  watched.acquire_renewed_before = watched.unchanged_since;
+  watched.acquire_earlier_leases =
       watched.row ? watched.row->earlier_leases : Duration::zero();
-  watched.take_sent = now;
+  watched.acquire_sent_at = now;
   Transaction transaction;
   transaction.expects.push_back({OwnerLeaseKey(pool), watched.version});
   transaction.writes.push_back({OwnerLeaseKey(pool), EncodeLease(lease)});
-  watched.take_tag =
-      outbox.CallStore(CommitRows{std::move(transaction)}, kTakeTimeout);
+  watched.acquire_tag =
+      outbox.CallStore(CommitRows{std::move(transaction)}, kAcquireTimeout);
   outbox.LogDecision(
       "pool-lease-expired",
       {{"pool", pool.str()},
--- a/radishmoor/jobs/pool_leases.h
+++ b/radishmoor/jobs/pool_leases.h
@@ -1,12 +1,13 @@
-// Decides which pools this process takes over, and when.
+// Decides when this process acquires the lease of a pool, and so becomes the
+// pool's owner.
 //
-// A pool's owner rewrites its lease row with each commit and announces itself
-// to all processes. A process that has not heard of the owner for a while reads
-// the row; when the row has not changed for the length of the lease, as
-// measured by the reader's own clock, it takes the lease with a transaction
-// that expects the row as it was read. Processes stand back by their rank for
-// the pool and by the number of pools that they own already, so that pools
-// spread out.
+// A pool's owner rewrites the pool's lease row with each commit and sends
+// heartbeats to all scheduler processes. A process that has received no
+// heartbeat for a while polls the row. When the row has not changed for the
+// length of the lease, as measured by the reader's own clock, the process
+// acquires the lease with a transaction that expects the row's version as read.
+// Each process waits for a delay that grows with its rank for the pool and with
+// the number of pools it already owns, so that pools spread over the processes.
 
 #ifndef RADISHMOOR_JOBS_POOL_LEASES_H_
 #define RADISHMOOR_JOBS_POOL_LEASES_H_
@@ -23,30 +24,34 @@
 
 namespace radishmoor {
 
+// The process that last announced itself as a pool's owner.
 struct PoolOwner {
   MemberId node;
   std::string address;
-  Time last_heartbeat_at;  // Its last announcement.
-  OwnerHeartbeat heartbeat;
+  Time last_heartbeat_at;
+  OwnerHeartbeat heartbeat;  // The last one.
 };
 
 struct AcquiredLease {
   PoolId pool;
   FencingToken token = 0;
-  RowVersion version = 0;
-  Time sent;
-  bool first_owner = false;
-  bool released = false;  // The earlier owner gave it up.
-  // The earlier owner sent its last renewal before.
-  Time renewed_before;
-  // From then on: leases that owners before it gave may last this long.
+  RowVersion version = 0;     // Of the lease row as this process wrote it.
+  Time sent_at;               // When the acquiring transaction was sent.
+  bool first_owner = false;   // The pool had no lease row before.
+  bool was_released = false;  // The previous owner released the lease.
+  // The previous owner sent its last renewal before this time.
+  Time last_renewed_before;
+  // How long after last_renewed_before server leases may last that were granted
+  // by owners before the previous one.
   Duration earlier_leases{};
 };
 
-// A process that may own pools.
+// A scheduler process that may own pools.
 struct LeaseCandidate {
   MemberId node;
-  uint32_t capacity = 0;  // Of its host; larger ones come first.
+  // Processor share in thousandths of a core. Processes with larger shares
+  // acquire leases first.
+  uint32_t capacity = 0;
 };
 
 class PoolLeases {
@@ -56,81 +61,105 @@
         address_(std::move(address)),
         capacity_(capacity) {}
 
-  // The pools that need an owner, and the live processes that may own them.
-  void Watch(Time now, std::span<const PoolId> pools);
-  void SetNodes(std::span<const LeaseCandidate> nodes);
+  // Adds pools that need an owner. Pools are never removed.
+  void WatchPools(Time now, std::span<const PoolId> pools);
+  // Sets the live processes that may own pools, including this one.
+  void SetCandidates(std::span<const LeaseCandidate> candidates);
 
   void OnOwnerHeartbeat(Time now,
                         const MemberId& from,
                         const std::string& address,
                         const OwnerHeartbeat& heartbeat);
-  // True if the answer was meant for this object.
+  // Returns whether the answer belongs to a request of this object.
   bool OnStoreAnswer(Time now, const StoreAnswer& answer, Outbox& outbox);
   void Tick(Time now, Outbox& outbox);
   Time next_wake() const { return next_wake_; }
 
-  // Leases taken since the last call.
-  std::vector<AcquiredLease> TakeAcquired();
-  // This process owns the pool, or does so no longer.
+  // Returns the leases acquired since the last call.
+  std::vector<AcquiredLease> TakeAcquiredLeases();
+  // Records whether this process owns the pool.
   void SetOwned(Time now, const PoolId& pool, bool owned);
-  // No lease is taken any more.
+  // Ends the acquisition of leases for good, for example at shutdown.
   void StopAcquiring() { stopped_ = true; }
 
-  // Who owned the pool last, as far as known.
+  // Returns the owner whose heartbeat came last, or null if none came since
+  // this process last owned the pool.
   const PoolOwner* OwnerOf(const PoolId& pool) const;
 
  private:
-  struct Watched {
+  struct WatchedPool {
     bool owned = false;
     std::optional<PoolOwner> owner;
-    // The row as last read or announced, and since when it has not changed.
+    // Version of the lease row as last read or announced by its owner; 0 if
+    // there is no row.
     RowVersion version = 0;
+    // The row as last read. Current if `row_read` is set: no newer version was
+    // announced since.
     std::optional<LeaseRow> row;
-    bool read = false;
+    bool row_read = false;
+    // Since when `version` has not changed.
     Time unchanged_since;
-    // From this time on the owner has not renewed the row, as its own account
-    // of the store's clock shows. Not after `unchanged_since`.
+    // The owner has not renewed the row since this time, computed from the
+    // store's clock that the owner wrote into the row. At or before
+    // `unchanged_since`.
     Time renewed_at;
-    // The store's clock at the last reading, and when it was read.
+    // The store's clock in the answer to the last read, and the local time of
+    // that answer.
     std::optional<Duration> store_clock;
     Time store_clock_at;
     Time watched_since;
     Time next_read;
-    // The last reading failed. After an outage the owner renews as soon as
-    // others can read, so the lease is not taken before `hold_until`.
+    // After a store outage the owner can renew its lease again from the time
+    // on at which this process can read again. The first successful read after
+    // failed ones therefore sets `hold_until`, and the lease is not acquired
+    // before that.
     bool read_failed = false;
     Time hold_until;
-    uint64_t read_tag = 0;
-    Time read_sent;
-    uint64_t take_tag = 0;
-    Time take_sent;
-    FencingToken take_token = 0;
-    bool take_first = false;
-    bool take_released = false;
-    Time take_renewed_before;
-    Duration take_earlier_leases{};
-    Time take_after;  // Stands back until then.
+    uint64_t read_tag = 0;  // 0: no read is in flight.
+    Time read_sent_at;
+    // The transaction that acquires the lease; a tag of 0 means that none is in
+    // flight. The other fields become those of the AcquiredLease.
+    uint64_t acquire_tag = 0;
+    Time acquire_sent_at;
+    FencingToken acquire_token = 0;
+    bool acquire_as_first_owner = false;
+    bool acquire_was_released = false;
+    Time acquire_renewed_before;
+    Duration acquire_earlier_leases{};
+    // The lease is not acquired earlier if it was released or has no row yet.
+    Time acquire_not_before;
   };
 
-  void TickPool(Time now, const PoolId& pool, Watched& watched, Outbox& out);
-  void Take(Time now, const PoolId& pool, Watched& watched, Outbox& outbox);
-  void OnRead(Time now,
-              const PoolId& pool,
-              Watched& watched,
-              const Row& row,
-              std::optional<Duration> store_clock);
-  void OnTaken(Time now, const PoolId& pool, Watched& watched, RowVersion v);
-  Duration StandBack(const PoolId& pool) const;
+  void TickPool(Time now,
+                const PoolId& pool,
+                WatchedPool& watched,
+                Outbox& out);
+  void AcquireLease(Time now,
+                    const PoolId& pool,
+                    WatchedPool& watched,
+                    Outbox& outbox);
+  void OnRowRead(Time now,
+                 const PoolId& pool,
+                 WatchedPool& watched,
+                 const Row& row,
+                 std::optional<Duration> store_clock);
+  void OnLeaseAcquired(Time now,
+                       const PoolId& pool,
+                       WatchedPool& watched,
+                       RowVersion version);
+  // Returns how long this process lets other candidates acquire the lease
+  // first.
+  Duration AcquireDelay(const PoolId& pool) const;
   size_t OwnedCount() const;
   void Wake(Time at) { next_wake_ = std::min(next_wake_, at); }
 
   MemberId node_;
   std::string address_;
   uint32_t capacity_;
-  std::vector<LeaseCandidate> nodes_;
-  std::map<PoolId, Watched> pools_;
+  std::vector<LeaseCandidate> candidates_;
+  std::map<PoolId, WatchedPool> pools_;
   std::vector<AcquiredLease> acquired_;
-  Duration read_latency_{};
+  Duration read_latency_{};  // Of the last read of a lease row.
   Time next_wake_ = kTimeMax;
   bool stopped_ = false;
 };
--- a/radishmoor/jobs/pool_report.cc
+++ b/radishmoor/jobs/pool_report.cc
@@ -23,7 +23,7 @@
   return "unknown";
 }
 
-std::string Field(std::string_view name, int64_t value) {
+std::string FormatField(std::string_view name, int64_t value) {
   return " " + std::string(name) + "=" + std::to_string(value);
 }
 
@@ -42,32 +42,36 @@
   }
   return "job " + job.id.str() + " queue=" + job.spec.queue.str() +
          " state=" + std::string(StateName(job.state)) +
-         Field("age_ms", WholeMilliseconds(now - job.arrived)) +
-         Field("objective_in_ms", WholeMilliseconds(job.objective - now)) +
-         Field("tasks", tasks) + Field("done", done) +
-         Field("running", running) + Field("failures", failures) + "\n";
+         FormatField("age_ms", WholeMilliseconds(now - job.arrived)) +
+         FormatField("objective_in_ms",
+                     WholeMilliseconds(job.objective - now)) +
+         FormatField("tasks", tasks) + FormatField("done", done) +
+         FormatField("running", running) + FormatField("failures", failures) +
+         "\n";
 }
 
 std::string ServersLine(Time now, const JobPoolState& state) {
   int64_t listed = 0;
   int64_t silent = 0;
   int64_t emptying = 0;
-  int64_t held_back = 0;
-  int64_t used = 0;
-  int64_t capacity = 0;
+  int64_t quarantined = 0;
+  int64_t used_cpu_millis = 0;
+  int64_t capacity_cpu_millis = 0;
   for (const auto& [id, server] : state.servers.all()) {
     if (!server.Serves(state.pool))
       continue;
     ++listed;
     silent += server.failed_polls > 0 ? 1 : 0;
     emptying += server.vacating ? 1 : 0;
-    held_back += now < server.quarantined_until ? 1 : 0;
-    used += server.used.cpu_millis;
-    capacity += server.listing.capacity.cpu_millis;
+    quarantined += now < server.quarantined_until ? 1 : 0;
+    used_cpu_millis += server.used.cpu_millis;
+    capacity_cpu_millis += server.listing.capacity.cpu_millis;
   }
-  return "servers" + Field("listed", listed) + Field("silent", silent) +
-         Field("emptying", emptying) + Field("held_back", held_back) +
-         Field("used_cpu", used) + Field("capacity_cpu", capacity) + "\n";
+  return "servers" + FormatField("listed", listed) +
+         FormatField("silent", silent) + FormatField("emptying", emptying) +
+         FormatField("held_back", quarantined) +
+         FormatField("used_cpu", used_cpu_millis) +
+         FormatField("capacity_cpu", capacity_cpu_millis) + "\n";
 }
 
 }  // namespace
@@ -76,13 +80,14 @@
   const JobPoolState& state = scheduler.state();
   std::string text =
       "pool " + state.pool.str() +
-      Field("token", static_cast<int64_t>(scheduler.token())) +
-      Field("loaded", scheduler.loaded() ? 1 : 0) +
-      Field("renewed_age_ms", WholeMilliseconds(scheduler.renewed_age(now))) +
+      FormatField("token", static_cast<int64_t>(scheduler.token())) +
+      FormatField("loaded", scheduler.loaded() ? 1 : 0) +
+      FormatField("renewed_age_ms",
+                  WholeMilliseconds(scheduler.renewed_age(now))) +
       "\n" + ServersLine(now, state);
   for (const QueueLoad& load : scheduler.MakeHeartbeat(now).queues) {
-    text += "queue " + load.queue.str() + Field("pending", load.pending) +
-            Field("wait_ms", WholeMilliseconds(load.wait)) + "\n";
+    text += "queue " + load.queue.str() + FormatField("pending", load.pending) +
+            FormatField("wait_ms", WholeMilliseconds(load.wait)) + "\n";
   }
   std::vector<const Job*> open;
   for (const JobId& id : state.jobs.open()) {
--- a/radishmoor/jobs/pool_report.h
+++ b/radishmoor/jobs/pool_report.h
@@ -1,8 +1,5 @@
-// What the owner of a pool believes, as text for operators: the pool, its
+// A text report for operators on a pool as its owner sees it: the pool, its
 // queues, its backend servers and the jobs that have not ended.
-//
-// Costs a pass over servers and open jobs; at most kMaxReportedJobs are listed,
-// the oldest first.
 
 #ifndef RADISHMOOR_JOBS_POOL_REPORT_H_
 #define RADISHMOOR_JOBS_POOL_REPORT_H_
@@ -16,6 +13,8 @@
 
 inline constexpr size_t kMaxReportedJobs = 100;
 
+// Lists at most kMaxReportedJobs jobs, the oldest first. Visits all servers of
+// the pool and sorts all open jobs.
 std::string PoolReport(Time now, const PoolScheduler& scheduler);
 
 }  // namespace radishmoor
--- a/radishmoor/jobs/testing/job_codec_test.cc
+++ b/radishmoor/jobs/testing/job_codec_test.cc
@@ -30,7 +30,7 @@
   return spec;
 }
 
-TEST_CASE("a job survives its encoding", "[codec]") {
+TEST_CASE("a decoded job equals the encoded one", "[codec]") {
   JobSpec spec = SampleJob();
   std::optional<JobSpec> decoded = DecodeJob(EncodeJob(spec));
   REQUIRE(decoded);
@@ -46,7 +46,7 @@
   REQUIRE(decoded->submitted_at == spec.submitted_at);
 }
 
-TEST_CASE("progress and lease rows survive their encoding", "[codec]") {
+TEST_CASE("decoded progress and lease rows equal the encoded ones", "[codec]") {
   StoredProgress progress;
   progress.state = JobState::kInProgress;
   progress.begun = true;
@@ -71,7 +71,7 @@
   REQUIRE(row->released);
 }
 
-TEST_CASE("messages survive their encoding", "[codec]") {
+TEST_CASE("decoded peer messages equal the encoded ones", "[codec]") {
   OwnerHeartbeat heartbeat;
   heartbeat.pool = PoolId("p");
   heartbeat.token = 4;
@@ -94,24 +94,26 @@
           notice.spec.payload);
 }
 
-// Guards against rows and messages of other writers that end the process.
-TEST_CASE("arbitrary bytes are refused, not followed", "[codec]") {
-  rc::prop("decoders never throw", [](const std::string& bytes) {
-    DecodeJob(bytes);
-    DecodeProgress(bytes);
-    DecodeLease(bytes);
-    DecodeNode(bytes);
-    DecodeHostOperation(bytes);
-    DecodeJobPeer(bytes);
-  });
-  rc::prop("cut rows never throw", [] {
+// Guards against a process that crashes on malformed rows or messages.
+TEST_CASE("decoders do not throw on arbitrary or truncated bytes", "[codec]") {
+  rc::prop("decoders do not throw on arbitrary bytes",
+           [](const std::string& bytes) {
+             DecodeJob(bytes);
+             DecodeProgress(bytes);
+             DecodeLease(bytes);
+             DecodeNode(bytes);
+             DecodeHostOperation(bytes);
+             DecodeJobPeer(bytes);
+           });
+  rc::prop("the job decoder does not throw on truncated bytes", [] {
     std::string bytes = EncodeJob(SampleJob());
     auto size = *rc::gen::inRange<size_t>(0, bytes.size());
     DecodeJob(std::string_view(bytes).substr(0, size));
   });
 }
 
-TEST_CASE("task names are parsed as they are formatted", "[codec]") {
+TEST_CASE("a formatted task id is parsed back and malformed ones are refused",
+          "[codec]") {
   TaskId task{JobId("5c0e7a21d94b36f8"), 3, 1, 17};
   REQUIRE(FormatTask(task) == "5c0e7a21d94b36f8.3.1.17");
   REQUIRE(ParseTask(FormatTask(task)) == task);
@@ -120,8 +122,9 @@
   REQUIRE_FALSE(ParseTask(""));
 }
 
-// Guards against jobs that could never be ended, or that need unbounded memory.
-TEST_CASE("jobs that cannot run are refused", "[codec]") {
+// Guards against jobs that could never end or would need unbounded memory.
+TEST_CASE("jobs with impossible steps or excessive sizes are refused",
+          "[codec]") {
   JobSpec spec = SampleJob();
   REQUIRE_FALSE(CheckJob(spec));
   spec.steps[0].after = {1};
--- a/radishmoor/jobs/testing/job_simulation.cc
+++ b/radishmoor/jobs/testing/job_simulation.cc
@@ -7,15 +7,17 @@
 namespace {
 
 constexpr Duration kOrderTimeout = Milliseconds(300);
-constexpr Duration kMaxLease = Seconds(6);
-// Of the store: a partition carries out one transaction after the other, and
-// refuses more when so much work waits.
+constexpr Duration kMaxServerLease = Seconds(6);
+// The store performs the transactions of a partition one after the other, and
+// refuses more once the waiting ones need longer than kMaxPartitionWait.
 constexpr Duration kTransactionTime = Milliseconds(5);
 constexpr Duration kMaxPartitionWait = Seconds(1);
-constexpr Duration kStopTime = Milliseconds(100);
+constexpr Duration kRunStopTime = Milliseconds(100);
 constexpr Duration kMaintenanceTime = Seconds(2);
-constexpr Duration kListingLapse = Milliseconds(4500);
-constexpr double kSlowestClock = 0.98;
+// A server that has ended is listed for this long.
+constexpr Duration kListingExpiry = Milliseconds(4500);
+// The clock of each server runs at a constant rate between this and 1.
+constexpr double kMinServerClockRate = 0.98;
 
 std::string Hex(uint64_t value) {
   static constexpr char kDigits[] = "0123456789abcdef";
@@ -43,7 +45,7 @@
 struct JobSimulation::Server {
   struct Running {
     RunNumber run = 0;
-    Time started;
+    Time started_at;
     Duration length{};
     bool fails = false;
     bool stopping = false;
@@ -62,18 +64,18 @@
   bool maintenance = false;
   uint64_t incarnation_number = 0;
   WallMillis incarnation_started_at = 0;
-  Time started;
-  double rate = 1;
+  Time started_at;
+  double clock_rate = 1;
   Time ended_at;
-  FencingToken fence = 0;
+  FencingToken highest_token = 0;
   ServerMillis lease_until = 0;
   std::map<TaskId, Running> running;
-  std::map<TaskId, RunNumber> over;  // Highest run that was stopped or ended.
+  std::map<TaskId, RunNumber> highest_ended_run;  // Ended, or to be stopped.
   std::vector<EndedRun> ended;
-  std::map<uint64_t, Time> end_times;  // By sequence.
-  Time lapsed_at;                      // When the lease last lapsed.
-  uint64_t next_end = 1;
-  std::vector<HeldPoll> held;
+  std::map<uint64_t, Time> end_times;  // By EndedRun::sequence.
+  Time lease_expired_at;  // When an expired lease was last noticed.
+  uint64_t next_end_sequence = 1;
+  std::vector<HeldPoll> held_polls;
 };
 
 struct JobSimulation::Caller {
@@ -82,17 +84,19 @@
   PoolId pool;
   std::string path;
   JobSpec spec;
-  int tries = 0;
+  int submissions = 0;
   bool accepted = false;
   bool cancel_wanted = false;
-  std::optional<Time> cancelled;  // Acknowledged.
-  std::optional<JobState> shown;  // Last.
-  Time final_at;                  // When a final state was first shown.
-  bool refused_only = true;       // No try had another outcome.
-  bool started = false;
+  std::optional<Time> cancelled;  // When the cancellation was acknowledged.
+  std::optional<JobState> reported_state;  // The last one.
+  Time final_state_at;  // When a final state was first reported.
+  bool all_submissions_refused = true;  // No submission had another outcome.
+  bool task_started = false;
+  // Failed runs of each task; UINT32_MAX once a run of the task has succeeded.
   std::map<TaskId, uint32_t> failures;
-  std::map<TaskId, Time> done;  // Taken note of.
-  Time last_try;
+  // When the owner first acknowledged the success of a task to its server.
+  std::map<TaskId, Time> acknowledged_done_at;
+  Time last_call_at;
 };
 
 JobSimulation::JobSimulation(const JobSimulationOptions& options)
@@ -114,7 +118,7 @@
       server->pool = PoolId(name);
       server->host = HostId(std::string(name) + "-" + std::to_string(i));
       server->address = "10.0.0." + std::to_string(servers_.size() + 1) + ":1";
-      server->rate = 1 - random_.Unit() * (1 - kSlowestClock);
+      server->clock_rate = 1 - random_.Unit() * (1 - kMinServerClockRate);
       servers_.push_back(std::move(server));
       StartServer(servers_.size() - 1,
                   ServerId("s" + std::to_string(next_server_++)));
@@ -128,7 +132,7 @@
     nodes_.push_back(std::move(node));
   }
   for (int i = 0; i < options.nodes; ++i)
-    After(Milliseconds(50 * i), [this, i] { StartNode(i); });
+    ScheduleAfter(Milliseconds(50 * i), [this, i] { StartNode(i); });
   if (options.wave) {
     MaintenanceWave wave{1, {}, Seconds(25), 2};
     for (size_t i = 0; i < servers_.size(); i += 2)
@@ -139,8 +143,8 @@
 
 JobSimulation::~JobSimulation() = default;
 
-void JobSimulation::At(Time when, std::function<void()> run) {
-  events_.push({when, next_order_++, std::move(run)});
+void JobSimulation::ScheduleAt(Time when, std::function<void()> run) {
+  events_.push({when, next_event_sequence_++, std::move(run)});
 }
 
 void JobSimulation::RunUntil(Time end) {
@@ -154,7 +158,7 @@
   now_ = end;
 }
 
-Duration JobSimulation::Latency() {
+Duration JobSimulation::RandomLatency() {
   return random_.Between(Microseconds(200), Microseconds(3000));
 }
 
@@ -162,14 +166,12 @@
   return 1'800'000'000'000 + now_.time_since_epoch().count() / 1000;
 }
 
-void JobSimulation::Violation(std::string what) {
+void JobSimulation::AddViolation(std::string what) {
   violations_.push_back("at " +
                         std::to_string(now_.time_since_epoch().count() / 1000) +
                         " ms: " + std::move(what));
 }
 
-// Nodes.
-
 void JobSimulation::StartNode(int index) {
   Node& node = *nodes_[static_cast<size_t>(index)];
   if (node.up)
@@ -183,117 +185,120 @@
   node.up = true;
   node.wake_at = kTimeMax;
   uint64_t incarnation_number = ++node.incarnation_number;
-  OnNode(index, incarnation_number,
-         [this](NodeCore& core) { core.Start(now_, wall()); });
+  RunOnNode(index, incarnation_number,
+            [this](NodeCore& core) { core.Start(now_, wall()); });
 }
 
-void JobSimulation::OnNode(int index,
-                           uint64_t incarnation_number,
-                           std::function<void(NodeCore&)> step) {
+void JobSimulation::RunOnNode(int index,
+                              uint64_t incarnation_number,
+                              std::function<void(NodeCore&)> callback) {
   Node& node = *nodes_[static_cast<size_t>(index)];
   if (!node.up || node.incarnation_number != incarnation_number)
     return;
   if (now_ < node.frozen_until) {
-    At(node.frozen_until,
-       [this, index, incarnation_number, step = std::move(step)]() mutable {
-         OnNode(index, incarnation_number, std::move(step));
-       });
+    ScheduleAt(node.frozen_until, [this, index, incarnation_number,
+                                   callback = std::move(callback)]() mutable {
+      RunOnNode(index, incarnation_number, std::move(callback));
+    });
     return;
   }
-  step(*node.core);
+  callback(*node.core);
   for (JobAction& action : node.core->TakeActions()) {
     if (!node.up || node.incarnation_number != incarnation_number)
       return;
-    Carry(index, std::move(action));
+    PerformAction(index, std::move(action));
   }
   if (node.up && node.incarnation_number == incarnation_number)
-    Wake(index);
+    ScheduleTick(index);
 }
 
-void JobSimulation::Wake(int index) {
+void JobSimulation::ScheduleTick(int index) {
   Node& node = *nodes_[static_cast<size_t>(index)];
   Time when = std::max(node.core->next_wake(), now_ + Microseconds(200));
   if (node.core->next_wake() == kTimeMax || when >= node.wake_at)
     return;
   node.wake_at = when;
-  At(when, [this, index, incarnation_number = node.incarnation_number, when] {
-    Node& n = *nodes_[static_cast<size_t>(index)];
-    if (n.incarnation_number == incarnation_number && n.wake_at == when)
-      n.wake_at = kTimeMax;
-    OnNode(index, incarnation_number,
-           [this](NodeCore& core) { core.Tick(now_, wall()); });
-  });
+  ScheduleAt(
+      when, [this, index, incarnation_number = node.incarnation_number, when] {
+        Node& n = *nodes_[static_cast<size_t>(index)];
+        if (n.incarnation_number == incarnation_number && n.wake_at == when)
+          n.wake_at = kTimeMax;
+        RunOnNode(index, incarnation_number,
+                  [this](NodeCore& core) { core.Tick(now_, wall()); });
+      });
 }
 
-void JobSimulation::Carry(int index, JobAction action) {
+void JobSimulation::PerformAction(int index, JobAction action) {
   Node& node = *nodes_[static_cast<size_t>(index)];
   uint64_t incarnation_number = node.incarnation_number;
   if (auto* call = std::get_if<StoreCall>(&action)) {
-    CarryStore(index, incarnation_number, *call);
+    PerformStoreCall(index, incarnation_number, *call);
   } else if (auto* order = std::get_if<OrderToServer>(&action)) {
-    CarryOrder(index, incarnation_number, *order);
+    PerformOrder(index, incarnation_number, *order);
   } else if (auto* list = std::get_if<ListServers>(&action)) {
     bool reached = now_ >= node.store_cut_until && now_ >= store_down_until_;
-    After(Latency() * 2,
-          [this, index, incarnation_number, tag = list->tag, reached] {
-            ServersReply reply{tag, reached, {}};
-            if (reached)
-              reply.servers = Listings();
-            OnNode(index, incarnation_number, [this, reply](NodeCore& core) {
-              core.OnServers(now_, wall(), reply);
-            });
-          });
-  } else if (auto* follow = std::get_if<WatchOperatorChanges>(&action)) {
-    DeliverOperatorChanges(index, incarnation_number, *follow);
+    ScheduleAfter(RandomLatency() * 2, [this, index, incarnation_number,
+                                        tag = list->tag, reached] {
+      ServersReply reply{tag, reached, {}};
+      if (reached)
+        reply.servers = Listings();
+      RunOnNode(index, incarnation_number, [this, reply](NodeCore& core) {
+        core.OnServers(now_, wall(), reply);
+      });
+    });
+  } else if (auto* watch = std::get_if<WatchOperatorChanges>(&action)) {
+    DeliverOperatorChanges(index, incarnation_number, *watch);
   } else if (auto* host_call = std::get_if<HostCall>(&action)) {
-    CarryHostCall(index, incarnation_number, *host_call);
+    PerformHostCall(index, incarnation_number, *host_call);
   } else if (auto* report = std::get_if<ReportWave>(&action)) {
     if (report->completed)
       completed_waves_.insert(report->wave);
-    After(Latency(), [this, index, incarnation_number, tag = report->tag] {
-      OnNode(index, incarnation_number, [this, tag](NodeCore& core) {
-        core.OnStoreAnswer(now_, wall(), {tag, CommittedReply{}});
-      });
-    });
+    ScheduleAfter(
+        RandomLatency(), [this, index, incarnation_number, tag = report->tag] {
+          RunOnNode(index, incarnation_number, [this, tag](NodeCore& core) {
+            core.OnStoreAnswer(now_, wall(), {tag, CommittedReply{}});
+          });
+        });
   } else if (auto* send = std::get_if<SendJobPeer>(&action)) {
     for (int to = 0; to < options_.nodes; ++to) {
       Node& peer = *nodes_[static_cast<size_t>(to)];
       if (peer.name != send->to || now_ < node.peers_cut_until ||
           now_ < peer.peers_cut_until)
         continue;
-      // The encoding is part of what is tested.
+      // Messages are encoded and decoded so that the codec is tested too.
       std::string bytes =
           EncodeJobPeer({node.name, node.address, send->message});
-      After(Latency(), [this, to,
-                        peer_incarnation_number = peer.incarnation_number,
-                        bytes] {
-        std::optional<JobPeerEnvelope> envelope = DecodeJobPeer(bytes);
-        if (!envelope) {
-          Violation("a message between processes cannot be decoded");
-          return;
-        }
-        OnNode(to, peer_incarnation_number, [this, envelope](NodeCore& core) {
-          core.OnPeer(now_, wall(), *envelope);
-        });
-      });
+      ScheduleAfter(
+          RandomLatency(),
+          [this, to, peer_incarnation_number = peer.incarnation_number, bytes] {
+            std::optional<JobPeerEnvelope> envelope = DecodeJobPeer(bytes);
+            if (!envelope) {
+              AddViolation("a message between processes cannot be decoded");
+              return;
+            }
+            RunOnNode(to, peer_incarnation_number,
+                      [this, envelope](NodeCore& core) {
+                        core.OnPeer(now_, wall(), *envelope);
+                      });
+          });
     }
   } else if (auto* answer = std::get_if<JobCallAnswer>(&action)) {
-    OnAnswer(*answer);
+    OnCallAnswer(*answer);
   } else if (std::holds_alternative<EndJobProcess>(action)) {
     node.up = false;
-    After(Milliseconds(400), [this, index] { StartNode(index); });
+    ScheduleAfter(Milliseconds(400), [this, index] { StartNode(index); });
   }
 }
 
-void JobSimulation::CarryStore(int index,
-                               uint64_t incarnation_number,
-                               const StoreCall& call) {
+void JobSimulation::PerformStoreCall(int index,
+                                     uint64_t incarnation_number,
+                                     const StoreCall& call) {
   Node& node = *nodes_[static_cast<size_t>(index)];
   auto answer = [this, index, incarnation_number, tag = call.tag](
                     Duration delay, StoreReply reply) {
-    After(delay, [this, index, incarnation_number, tag,
-                  reply = std::move(reply)] {
-      OnNode(index, incarnation_number, [this, tag, reply](NodeCore& core) {
+    ScheduleAfter(delay, [this, index, incarnation_number, tag,
+                          reply = std::move(reply)] {
+      RunOnNode(index, incarnation_number, [this, tag, reply](NodeCore& core) {
         core.OnStoreAnswer(now_, wall(), {tag, reply});
       });
     });
@@ -302,82 +307,88 @@
       call.timeout > Duration::zero() ? call.timeout : Milliseconds(1200);
   if (now_ < node.store_cut_until || now_ < store_down_until_) {
     if (random_.Chance(0.5))
-      answer(Latency(), UnavailableReply{"down"});
+      answer(RandomLatency(), UnavailableReply{"down"});
     else
       answer(timeout, UnknownReply{"silent"});
     return;
   }
   bool write = std::holds_alternative<CommitRows>(call.request);
-  bool lost = write && random_.Chance(options_.lost_answers);
-  Duration travel = Slowed(Latency());
+  bool lost = write && random_.Chance(options_.lost_answer_share);
+  Duration request_latency = WithStoreSlowdown(RandomLatency());
   if (lost && random_.Chance(0.3))
-    travel = random_.Between(Seconds(1), Seconds(6));  // Carried out late.
-  std::optional<Time> turn = StoreTurn(now_ + travel, call.request);
-  if (!turn) {
-    answer(travel + Slowed(Latency()), UnavailableReply{"busy"});
+    request_latency =
+        random_.Between(Seconds(1), Seconds(6));  // Performed late.
+  std::optional<Time> done_at =
+      RequestDoneAt(now_ + request_latency, call.request);
+  if (!done_at) {
+    answer(request_latency + WithStoreSlowdown(RandomLatency()),
+           UnavailableReply{"busy"});
     return;
   }
-  Duration back = Slowed(Latency());
-  bool late = *turn + back - now_ > timeout;
-  At(*turn, [this, answer, call, back, unanswered = lost || late] {
-    StoreReply reply = table_.Handle(call.request);
-    if (auto* rows = std::get_if<RowsReply>(&reply))
-      rows->clock = now_ - kTimeZero;
-    if (auto* committed = std::get_if<CommittedReply>(&reply))
-      committed->clock = now_ - kTimeZero;
-    if (!unanswered)
-      answer(back, std::move(reply));
-  });
+  Duration answer_latency = WithStoreSlowdown(RandomLatency());
+  bool late = *done_at + answer_latency - now_ > timeout;
+  ScheduleAt(*done_at,
+             [this, answer, call, answer_latency, unanswered = lost || late] {
+               StoreReply reply = table_.Handle(call.request);
+               if (auto* rows = std::get_if<RowsReply>(&reply))
+                 rows->clock = now_ - kTimeZero;
+               if (auto* committed = std::get_if<CommittedReply>(&reply))
+                 committed->clock = now_ - kTimeZero;
+               if (!unanswered)
+                 answer(answer_latency, std::move(reply));
+             });
   if (lost || late)
     answer(timeout, UnknownReply{"lost"});
 }
 
-Duration JobSimulation::Slowed(Duration usual) const {
+Duration JobSimulation::WithStoreSlowdown(Duration usual) const {
   return now_ < store_slow_until_
              ? Duration(static_cast<int64_t>(
-                   store_factor_ * static_cast<double>(usual.count())))
+                   store_slowdown_ * static_cast<double>(usual.count())))
              : usual;
 }
 
-std::optional<Time> JobSimulation::StoreTurn(Time arrives,
-                                             const StoreRequest& request) {
+std::optional<Time> JobSimulation::RequestDoneAt(Time arrives,
+                                                 const StoreRequest& request) {
   const auto* commit = std::get_if<CommitRows>(&request);
   if (commit == nullptr || commit->transaction.writes.empty())
     return arrives;
   const std::string& key = commit->transaction.writes.front().key;
-  size_t part = key.find('/') + 1;
-  Time& busy = partitions_[key.substr(part, key.find('/', part) - part)];
-  if (busy > arrives + kMaxPartitionWait)
+  size_t partition_start = key.find('/') + 1;
+  Time& busy_until = partition_busy_until_[key.substr(
+      partition_start, key.find('/', partition_start) - partition_start)];
+  if (busy_until > arrives + kMaxPartitionWait)
     return std::nullopt;
-  busy = std::max(busy, arrives) + Slowed(kTransactionTime);
-  return busy;
+  busy_until =
+      std::max(busy_until, arrives) + WithStoreSlowdown(kTransactionTime);
+  return busy_until;
 }
 
 void JobSimulation::DeliverOperatorChanges(int index,
                                            uint64_t incarnation_number,
-                                           const WatchOperatorChanges& follow) {
+                                           const WatchOperatorChanges& watch) {
   Node& node = *nodes_[static_cast<size_t>(index)];
   OperatorChanges reply;
-  reply.tag = follow.tag;
+  reply.tag = watch.tag;
   reply.answered = now_ >= node.store_cut_until && now_ >= store_down_until_;
-  Duration delay = follow.after == 0 ? Latency() * 2 : follow.wait;
+  Duration delay = watch.after == 0 ? RandomLatency() * 2 : watch.wait;
   if (reply.answered) {
     reply.version = 1;
-    if (follow.after == 0) {
+    if (watch.after == 0) {
       reply.config = config_;
       reply.waves = waves_;
     }
   }
-  After(delay, [this, index, incarnation_number, reply] {
-    OnNode(index, incarnation_number, [this, reply](NodeCore& core) {
+  ScheduleAfter(delay, [this, index, incarnation_number, reply] {
+    RunOnNode(index, incarnation_number, [this, reply](NodeCore& core) {
       core.OnOperatorChanges(now_, wall(), reply);
     });
   });
 }
 
-void JobSimulation::CarryHostCall(int index,
-                                  uint64_t incarnation_number,
-                                  const HostCall& call) {
+void JobSimulation::PerformHostCall(int index,
+                                    uint64_t incarnation_number,
+                                    const HostCall& call) {
   HostReply reply;
   reply.tag = call.tag;
   reply.outcome = HostOutcome::kDone;
@@ -394,17 +405,17 @@
         auto caller = callers_.find(task.job);
         if (caller != callers_.end() && !caller->second->cancelled &&
             caller->second->spec.long_running())
-          Violation("maintenance ends a long-running task");
+          AddViolation("maintenance ends a long-running task");
       }
       int down = 0;
       for (const auto& other : servers_)
         down += other->maintenance ? 1 : 0;
       if (down >= static_cast<int>(waves_.front().max_at_once))
-        Violation("more hosts under maintenance than the wave allows");
-      ++counts_.maintained;
+        AddViolation("more hosts under maintenance than the wave allows");
+      ++counts_.maintained_hosts;
       EndServer(server);
       server.maintenance = true;
-      After(kMaintenanceTime, [this, i] {
+      ScheduleAfter(kMaintenanceTime, [this, i] {
         servers_[i]->maintenance = false;
         StartServer(i, ServerId("s" + std::to_string(next_server_++)));
       });
@@ -425,8 +436,8 @@
       reply.hosts.push_back(std::move(host));
     }
   }
-  After(Latency() * 2, [this, index, incarnation_number, reply] {
-    OnNode(index, incarnation_number, [this, reply](NodeCore& core) {
+  ScheduleAfter(RandomLatency() * 2, [this, index, incarnation_number, reply] {
+    RunOnNode(index, incarnation_number, [this, reply](NodeCore& core) {
       core.OnHostReply(now_, wall(), reply);
     });
   });
@@ -445,12 +456,10 @@
   return node.up && node.core->pools().contains(pool);
 }
 
-// Servers.
-
 std::vector<ServerListing> JobSimulation::Listings() const {
   std::vector<ServerListing> listings;
   for (const auto& server : servers_) {
-    if (!server->up && now_ - server->ended_at > kListingLapse)
+    if (!server->up && now_ - server->ended_at > kListingExpiry)
       continue;
     ServerListing listing;
     listing.id = server->id;
@@ -470,41 +479,42 @@
   ++server.incarnation_number;
   server.incarnation_started_at =
       wall() + static_cast<WallMillis>(server.incarnation_number);
-  server.started = now_;
-  server.fence = 0;
+  server.started_at = now_;
+  server.highest_token = 0;
   server.lease_until = 0;
   server.running.clear();
-  server.over.clear();
+  server.highest_ended_run.clear();
   server.ended.clear();
-  server.next_end = 1;
+  server.next_end_sequence = 1;
   server.end_times.clear();
-  server.lapsed_at = kTimeZero;
+  server.lease_expired_at = kTimeZero;
 }
 
 void JobSimulation::EndServer(Server& server) {
   server.up = false;
   server.ended_at = now_;
   server.running.clear();
-  server.held.clear();
+  server.held_polls.clear();
   ++server.incarnation_number;
 }
 
-ServerMillis JobSimulation::ClockOf(const Server& server) const {
+ServerMillis JobSimulation::ServerClock(const Server& server) const {
   return static_cast<ServerMillis>(
-      static_cast<double>((now_ - server.started).count()) / 1000 *
-      server.rate);
+      static_cast<double>((now_ - server.started_at).count()) / 1000 *
+      server.clock_rate);
 }
 
-void JobSimulation::CarryOrder(int index,
-                               uint64_t incarnation_number,
-                               const OrderToServer& order) {
+void JobSimulation::PerformOrder(int index,
+                                 uint64_t incarnation_number,
+                                 const OrderToServer& order) {
   auto answer = [this, index, incarnation_number](Duration delay,
                                                   ServerReply reply) {
-    After(delay, [this, index, incarnation_number, reply = std::move(reply)] {
-      OnNode(index, incarnation_number, [this, reply](NodeCore& core) {
-        core.OnServerReply(now_, wall(), reply);
-      });
-    });
+    ScheduleAfter(
+        delay, [this, index, incarnation_number, reply = std::move(reply)] {
+          RunOnNode(index, incarnation_number, [this, reply](NodeCore& core) {
+            core.OnServerReply(now_, wall(), reply);
+          });
+        });
   };
   const auto* server_poll = std::get_if<PollServer>(&order.order);
   Duration timeout = server_poll != nullptr
@@ -520,91 +530,98 @@
   }
   if (target != nullptr && std::holds_alternative<StartRun>(order.order))
     last_start_by_[{index, target->pool}] = now_;
-  bool late = server_poll == nullptr && random_.Chance(options_.late_orders);
+  bool late =
+      server_poll == nullptr && random_.Chance(options_.late_order_share);
   bool cut = now_ < nodes_[static_cast<size_t>(index)]->servers_cut_until;
   if (target == nullptr || cut) {
     answer(timeout, lost);
     return;
   }
   Duration arrives =
-      late ? random_.Between(Seconds(2), Seconds(12)) : Latency();
+      late ? random_.Between(Seconds(2), Seconds(12)) : RandomLatency();
   if (late)
     answer(timeout, lost);
   auto answered = std::make_shared<bool>(late);
   if (!late) {
-    // A server that is gone does not answer.
-    After(timeout, [answered, answer, lost] {
+    // Without an answer, the order is reported as unanswered after the timeout.
+    ScheduleAfter(timeout, [answered, answer, lost] {
       if (!std::exchange(*answered, true))
         answer(Duration::zero(), lost);
     });
   }
-  After(arrives, [this, target, order, answered, answer, late,
-                  server_incarnation_number = target->incarnation_number] {
-    // The server itself holds a late order, which is lost with its life.
-    if (!target->up ||
-        (late && target->incarnation_number != server_incarnation_number))
-      return;
-    ServerReply reply;
-    reply.tag = order.tag;
-    reply.server = order.server;
-    if (target->id != order.server) {
-      reply.outcome = OrderOutcome::kOtherIncarnation;
-      if (!std::exchange(*answered, true))
-        answer(Latency(), reply);
-      return;
-    }
-    reply = Apply(*target, order);
-    const auto* poll_order = std::get_if<PollServer>(&order.order);
-    bool holds = poll_order != nullptr && poll_order->wait > Duration::zero() &&
-                 reply.outcome == OrderOutcome::kDone && reply.ended.empty();
-    if (!holds) {
-      if (!std::exchange(*answered, true))
-        answer(Latency(), reply);
-      return;
-    }
-    auto finish = [this, target, order, answered, answer,
-                   server_incarnation_number = target->incarnation_number] {
-      if (*answered || !target->up ||
-          target->incarnation_number != server_incarnation_number)
-        return;
-      *answered = true;
-      OrderToServer again = order;
-      // The lease and the acknowledgement took effect at the arrival.
-      std::get<PollServer>(again.order) = {};
-      answer(Latency(), Apply(*target, again));
-    };
-    target->held.push_back({finish});
-    After(poll_order->wait, finish);
-  });
+  ScheduleAfter(
+      arrives, [this, target, order, answered, answer, late,
+                server_incarnation_number = target->incarnation_number] {
+        // A late order is delayed within the server, so it is lost when that
+        // incarnation of the server ends.
+        if (!target->up ||
+            (late && target->incarnation_number != server_incarnation_number))
+          return;
+        ServerReply reply;
+        reply.tag = order.tag;
+        reply.server = order.server;
+        if (target->id != order.server) {
+          reply.outcome = OrderOutcome::kOtherIncarnation;
+          if (!std::exchange(*answered, true))
+            answer(RandomLatency(), reply);
+          return;
+        }
+        reply = ApplyOrder(*target, order);
+        const auto* poll_order = std::get_if<PollServer>(&order.order);
+        bool answer_held =
+            poll_order != nullptr && poll_order->wait > Duration::zero() &&
+            reply.outcome == OrderOutcome::kDone && reply.ended.empty();
+        if (!answer_held) {
+          if (!std::exchange(*answered, true))
+            answer(RandomLatency(), reply);
+          return;
+        }
+        auto finish = [this, target, order, answered, answer,
+                       server_incarnation_number = target->incarnation_number] {
+          if (*answered || !target->up ||
+              target->incarnation_number != server_incarnation_number)
+            return;
+          *answered = true;
+          OrderToServer again = order;
+          // The lease and the acknowledgement took effect when the poll
+          // arrived.
+          std::get<PollServer>(again.order) = {};
+          answer(RandomLatency(), ApplyOrder(*target, again));
+        };
+        target->held_polls.push_back({finish});
+        ScheduleAfter(poll_order->wait, finish);
+      });
 }
 
-ServerReply JobSimulation::Apply(Server& server, const OrderToServer& order) {
-  ExpireLeases(server);
+ServerReply JobSimulation::ApplyOrder(Server& server,
+                                      const OrderToServer& order) {
+  EndRunsIfLeaseExpired(server);
   ServerReply reply;
   reply.tag = order.tag;
   reply.server = order.server;
-  reply.clock = ClockOf(server);
+  reply.clock = ServerClock(server);
   reply.incarnation_started_at = server.incarnation_started_at;
   reply.outcome = OrderOutcome::kDone;
-  if (order.token < server.fence) {
+  if (order.token < server.highest_token) {
     reply.outcome = OrderOutcome::kFenced;
     return reply;
   }
-  server.fence = order.token;
-  ServerMillis longest = ClockOf(server) + kMaxLease.count() / 1000;
+  server.highest_token = order.token;
+  ServerMillis longest = ServerClock(server) + kMaxServerLease.count() / 1000;
   if (const auto* start = std::get_if<StartRun>(&order.order)) {
     server.lease_until =
         std::max(server.lease_until, std::min(start->lease_until, longest));
     ApplyStart(server, *start, reply);
   } else if (const auto* stop = std::get_if<StopRun>(&order.order)) {
-    RunNumber& over = server.over[stop->task];
-    over = std::max(over, stop->run);
+    RunNumber& highest_ended = server.highest_ended_run[stop->task];
+    highest_ended = std::max(highest_ended, stop->run);
     auto it = server.running.find(stop->task);
     if (it != server.running.end() && it->second.run <= stop->run &&
         !it->second.stopping) {
       it->second.stopping = true;
-      After(kStopTime, [this, &server, task = stop->task,
-                        incarnation_number = server.incarnation_number] {
+      ScheduleAfter(kRunStopTime, [this, &server, task = stop->task,
+                                   incarnation_number =
+                                       server.incarnation_number] {
         if (server.up && server.incarnation_number == incarnation_number &&
             server.running.contains(task) && server.running.at(task).stopping)
           EndRun(server, task, RunEnd::kStopped);
@@ -615,17 +632,19 @@
                                   std::min(server_poll->lease_until, longest));
     for (const EndedRun& ended : server.ended) {
       auto caller = callers_.find(ended.task.job);
-      // An end from before a lapse is not known to have been seen in time.
-      bool noted = ended.sequence <= server_poll->acknowledged &&
-                   server.lapsed_at < server.end_times[ended.sequence];
-      if (noted && ended.end == RunEnd::kDone && caller != callers_.end())
-        caller->second->done.try_emplace(ended.task, now_);
+      // For an end before the last expiry of the lease, it is not known whether
+      // the owner received it in time.
+      bool received =
+          ended.sequence <= server_poll->acknowledged &&
+          server.lease_expired_at < server.end_times[ended.sequence];
+      if (received && ended.end == RunEnd::kDone && caller != callers_.end())
+        caller->second->acknowledged_done_at.try_emplace(ended.task, now_);
     }
     std::erase_if(server.ended, [server_poll](const EndedRun& ended) {
       return ended.sequence <= server_poll->acknowledged;
     });
     for (const auto& [task, run] : server.running) {
-      double share = static_cast<double>((now_ - run.started).count()) /
+      double share = static_cast<double>((now_ - run.started_at).count()) /
                      static_cast<double>(run.length.count());
       auto caller = callers_.find(task.job);
       bool long_running =
@@ -646,14 +665,15 @@
                                ServerReply& reply) {
   auto it = server.running.find(start.task);
   if (it != server.running.end() && it->second.run == start.run)
-    return;  // It is there already.
-  auto over = server.over.find(start.task);
+    return;  // The order is a repetition.
+  auto highest_ended = server.highest_ended_run.find(start.task);
   if (it != server.running.end() ||
-      (over != server.over.end() && start.run <= over->second)) {
+      (highest_ended != server.highest_ended_run.end() &&
+       start.run <= highest_ended->second)) {
     reply.outcome = OrderOutcome::kStaleRun;
     return;
   }
-  if (ClockOf(server) >= start.lease_until) {
+  if (ServerClock(server) >= start.lease_until) {
     reply.outcome = OrderOutcome::kTooLate;
     return;
   }
@@ -661,7 +681,7 @@
   ++counts_.starts;
   Server::Running run;
   run.run = start.run;
-  run.started = now_;
+  run.started_at = now_;
   const Caller& caller = *callers_.at(start.task.job);
   const StepSpec& step = caller.spec.steps[start.task.step];
   double factor = 0.5 + random_.Unit();
@@ -673,8 +693,9 @@
                          static_cast<double>(step.estimate.count()) * factor));
   run.fails = random_.Chance(0.02);
   server.running[start.task] = run;
-  After(run.length, [this, &server, task = start.task, number = start.run,
-                     incarnation_number = server.incarnation_number] {
+  ScheduleAfter(run.length, [this, &server, task = start.task,
+                             number = start.run,
+                             incarnation_number = server.incarnation_number] {
     auto found = server.running.find(task);
     if (!server.up || server.incarnation_number != incarnation_number ||
         found == server.running.end() || found->second.run != number)
@@ -687,34 +708,34 @@
   std::string name = FormatTask(start.task);
   auto found = callers_.find(start.task.job);
   if (found == callers_.end()) {
-    Violation(name + " starts, and no caller submitted its job");
+    AddViolation(name + " starts although no caller submitted its job");
     return;
   }
   Caller& caller = *found->second;
-  caller.started = true;
+  caller.task_started = true;
   if (caller.spec.payload != start.payload)
-    Violation(name + " starts with another payload");
+    AddViolation(name + " starts with a payload other than the submitted one");
   if (caller.pool != server.pool)
-    Violation(name + " starts in another pool");
+    AddViolation(name + " starts on a server of another pool");
   if (caller.cancelled && now_ - *caller.cancelled > Seconds(3))
-    Violation(name + " starts after its job was cancelled");
+    AddViolation(name + " starts more than 3 s after its job was cancelled");
   const StepSpec& step = caller.spec.steps[start.task.step];
   for (const auto& other : servers_) {
     if (!other->up || step.speculative)
       continue;
-    // Leases that have lapsed by the server's own clock end its runs.
-    ExpireLeases(*other);
+    // Runs whose lease has expired by their server's clock do not count.
+    EndRunsIfLeaseExpired(*other);
     if (other.get() != &server && other->running.contains(start.task))
-      Violation(name + " runs on " + other->id.str() + " and starts on " +
-                server.id.str());
+      AddViolation(name + " runs on " + other->id.str() + " and starts on " +
+                   server.id.str());
   }
   if (!step.long_running && !step.speculative &&
-      caller.done.contains(start.task))
-    Violation(name + " starts after its success was acknowledged");
+      caller.acknowledged_done_at.contains(start.task))
+    AddViolation(name + " starts after its success was acknowledged");
   for (uint32_t before : step.after) {
     for (uint32_t i = 0; i < caller.spec.steps[before].count; ++i) {
       TaskId earlier{start.task.job, 0, before, i};
-      bool done = caller.done.contains(earlier);
+      bool done = caller.acknowledged_done_at.contains(earlier);
       for (const auto& other : servers_) {
         for (const EndedRun& ended : other->ended)
           done = done || (ended.task == earlier && ended.end == RunEnd::kDone);
@@ -723,7 +744,8 @@
       done =
           done || (ends != caller.failures.end() && ends->second == UINT32_MAX);
       if (!done)
-        Violation(name + " starts before " + FormatTask(earlier) + " is done");
+        AddViolation(name + " starts before " + FormatTask(earlier) +
+                     " is done");
     }
   }
   Resources used = step.request;
@@ -733,58 +755,58 @@
       used += owner->second->spec.steps[task.step].request;
   }
   if (!used.Fits(server.capacity))
-    Violation(name + " does not fit on " + server.id.str());
+    AddViolation(name + " does not fit on " + server.id.str());
   if (!step.long_running && caller.failures.contains(start.task) &&
       caller.failures[start.task] != UINT32_MAX &&
       caller.failures[start.task] >= 3)
-    Violation(name + " starts after its last attempt failed");
+    AddViolation(name + " starts after its last allowed attempt failed");
 }
 
 void JobSimulation::EndRun(Server& server, const TaskId& task, RunEnd end) {
   auto it = server.running.find(task);
   RunNumber run = it->second.run;
   server.running.erase(it);
-  RunNumber& over = server.over[task];
-  over = std::max(over, run);
-  server.end_times[server.next_end] = now_;
-  server.ended.push_back({server.next_end++, task, run, end, ""});
+  RunNumber& highest_ended = server.highest_ended_run[task];
+  highest_ended = std::max(highest_ended, run);
+  server.end_times[server.next_end_sequence] = now_;
+  server.ended.push_back({server.next_end_sequence++, task, run, end, ""});
   auto caller = callers_.find(task.job);
   if (caller != callers_.end()) {
     uint32_t& failures = caller->second->failures[task];
     if (end == RunEnd::kDone)
-      failures = UINT32_MAX;  // It was done once; its server may be lost.
+      // Kept here because the server may be lost before it reports the end.
+      failures = UINT32_MAX;
     else if (end == RunEnd::kFailed && failures != UINT32_MAX)
       ++failures;
   }
-  for (Server::HeldPoll& held : std::exchange(server.held, {}))
+  for (Server::HeldPoll& held : std::exchange(server.held_polls, {}))
     held.answer();
 }
 
-void JobSimulation::ExpireLeases(Server& server) {
-  if (!server.up || ClockOf(server) <= server.lease_until)
+void JobSimulation::EndRunsIfLeaseExpired(Server& server) {
+  if (!server.up || ServerClock(server) <= server.lease_until)
     return;
-  server.lapsed_at = now_;
-  std::vector<TaskId> lapsed;
+  server.lease_expired_at = now_;
+  std::vector<TaskId> tasks;
   for (const auto& [task, run] : server.running)
-    lapsed.push_back(task);
-  for (const TaskId& task : lapsed) {
-    // The answer to a poll that was held back may have ended it by now.
+    tasks.push_back(task);
+  for (const TaskId& task : tasks) {
+    // EndRun() answers a held poll, which may already have ended the other
+    // runs.
     if (!server.running.contains(task))
       continue;
-    ++counts_.lapsed;
+    ++counts_.runs_lease_expired;
     EndRun(server, task, RunEnd::kLeaseExpired);
   }
 }
 
-// Callers.
-
 void JobSimulation::SubmitJob() {
-  submitting_ = callers_on_;
-  if (!callers_on_)
+  submission_scheduled_ = submissions_enabled_;
+  if (!submissions_enabled_)
     return;
-  After(random_.Exponential(
-            Duration(static_cast<int64_t>(1e6 / options_.jobs_per_second))),
-        [this] { SubmitJob(); });
+  ScheduleAfter(random_.Exponential(Duration(
+                    static_cast<int64_t>(1e6 / options_.jobs_per_second))),
+                [this] { SubmitJob(); });
   auto caller = std::make_unique<Caller>();
   caller->id = JobId(Hex(random_.Next()));
   const QueueConfig& queue =
@@ -829,69 +851,77 @@
   call.request = std::move(request);
   calls_[call.id] = caller.id;
   call_sent_[call.id] = now_;
-  caller.last_try = now_;
+  caller.last_call_at = now_;
   if (std::holds_alternative<radishmoor::SubmitJob>(call.request)) {
-    ++caller.tries;
+    ++caller.submissions;
     JobCallId id = call.id;
-    // No answer within the time limit: the outcome is open.
-    After(Seconds(3), [this, id, job = caller.id] {
+    // Without an answer within the time limit the outcome is unknown, and the
+    // caller submits the job again.
+    ScheduleAfter(Seconds(3), [this, id, job = caller.id] {
       if (calls_.erase(id) == 0)
         return;
       Caller& c = *callers_.at(job);
-      c.refused_only = false;
-      if (!c.accepted && c.tries < 5)
+      c.all_submissions_refused = false;
+      if (!c.accepted && c.submissions < 5)
         SendCall(c, radishmoor::SubmitJob{"jobs.example", c.path, c.spec});
     });
   }
   if (!node.up)
     return;
-  After(Latency(), [this, index, incarnation_number = node.incarnation_number,
-                    call]() mutable {
+  ScheduleAfter(RandomLatency(), [this, index,
+                                  incarnation_number = node.incarnation_number,
+                                  call]() mutable {
     call.arrived = now_;
-    OnNode(index, incarnation_number,
-           [this, call](NodeCore& core) { core.OnCall(now_, wall(), call); });
+    RunOnNode(index, incarnation_number, [this, call](NodeCore& core) {
+      core.OnCall(now_, wall(), call);
+    });
   });
 }
 
-void JobSimulation::OnAnswer(const JobCallAnswer& answer) {
+void JobSimulation::OnCallAnswer(const JobCallAnswer& answer) {
   auto call = calls_.extract(answer.id);
   if (call.empty())
     return;
   Caller& caller = *callers_.at(call.mapped());
   switch (answer.outcome) {
     case CallOutcome::kAccepted:
-      caller.refused_only = false;
+      caller.all_submissions_refused = false;
       if (!std::exchange(caller.accepted, true)) {
         ++counts_.accepted;
         PollJob(caller.id);
       }
       return;
     case CallOutcome::kState: {
-      JobState before = caller.shown.value_or(JobState::kQueued);
-      // Answers to calls that crossed may come in another order.
-      if (IsFinal(before) && call_sent_[answer.id] < caller.final_at)
+      JobState before = caller.reported_state.value_or(JobState::kQueued);
+      // Ignores the answer to a call that was sent before the final state was
+      // reported: answers can overtake each other.
+      if (IsFinal(before) && call_sent_[answer.id] < caller.final_state_at)
         return;
       if (IsFinal(before) && answer.state != before)
-        Violation(caller.id.str() + " changes its state after its end");
+        AddViolation(caller.id.str() +
+                     " changes its reported state after a final one");
       if (answer.state == JobState::kCompleted) {
         for (uint32_t s = 0; s < caller.spec.steps.size(); ++s) {
           for (uint32_t i = 0; i < caller.spec.steps[s].count; ++i) {
             TaskId task{caller.id, 0, s, i};
             auto ends = caller.failures.find(task);
             if (ends == caller.failures.end() || ends->second != UINT32_MAX)
-              Violation(caller.id.str() + " is shown as completed early");
+              AddViolation(
+                  caller.id.str() +
+                  " is reported as completed before all of its tasks are done");
           }
         }
       }
       if (answer.state == JobState::kCancelled && !caller.cancel_wanted)
-        Violation(caller.id.str() + " is shown as cancelled without cause");
+        AddViolation(caller.id.str() +
+                     " is reported as cancelled without a cancel call");
       if (!IsFinal(before) && IsFinal(answer.state)) {
-        caller.final_at = now_;
+        caller.final_state_at = now_;
         counts_.completed += answer.state == JobState::kCompleted ? 1 : 0;
         counts_.failed += answer.state == JobState::kFailed ? 1 : 0;
         counts_.cancelled += answer.state == JobState::kCancelled ? 1 : 0;
       }
-      caller.shown = answer.state;
+      caller.reported_state = answer.state;
       return;
     }
     case CallOutcome::kCancelled:
@@ -900,18 +930,19 @@
       return;
     case CallOutcome::kNoJob:
       if (caller.accepted)
-        Violation(caller.id.str() + " is said not to exist");
+        AddViolation(caller.id.str() +
+                     " was accepted and is reported as unknown");
       return;
     case CallOutcome::kOverloaded:
     case CallOutcome::kUnavailable:
       ++counts_.refused;
       break;
     default:
-      caller.refused_only = false;
+      caller.all_submissions_refused = false;
       break;
   }
-  if (!caller.accepted && caller.tries < 5) {
-    After(Milliseconds(700), [this, id = caller.id] {
+  if (!caller.accepted && caller.submissions < 5) {
+    ScheduleAfter(Milliseconds(700), [this, id = caller.id] {
       Caller& c = *callers_.at(id);
       if (!c.accepted)
         SendCall(c, radishmoor::SubmitJob{"jobs.example", c.path, c.spec});
@@ -921,40 +952,38 @@
 
 void JobSimulation::PollJob(const JobId& id) {
   Caller& caller = *callers_.at(id);
-  if (caller.shown && IsFinal(*caller.shown))
+  if (caller.reported_state && IsFinal(*caller.reported_state))
     return;
   if (caller.cancel_wanted && !caller.cancelled && random_.Chance(0.2))
     SendCall(caller, CancelJob{"jobs.example", caller.path});
   else
     SendCall(caller, ReadJob{"jobs.example", caller.path});
-  After(Milliseconds(500), [this, id] { PollJob(id); });
+  ScheduleAfter(Milliseconds(500), [this, id] { PollJob(id); });
 }
 
 size_t JobSimulation::unfinished() const {
   size_t open = 0;
   for (const auto& [id, caller] : callers_) {
-    bool ended = caller->shown && IsFinal(*caller->shown);
+    bool ended = caller->reported_state && IsFinal(*caller->reported_state);
     if (caller->accepted && !ended && !caller->spec.long_running())
       ++open;
   }
   return open;
 }
 
-// Faults.
-
 void JobSimulation::KillNode(int index, Duration down) {
   Node& node = *nodes_[static_cast<size_t>(index)];
   if (!node.up)
     return;
   node.up = false;
   ++node.incarnation_number;
-  After(down, [this, index] { StartNode(index); });
+  ScheduleAfter(down, [this, index] { StartNode(index); });
 }
 
 void JobSimulation::StopNode(int index) {
   Node& node = *nodes_[static_cast<size_t>(index)];
-  OnNode(index, node.incarnation_number,
-         [this](NodeCore& core) { core.Shutdown(now_, wall()); });
+  RunOnNode(index, node.incarnation_number,
+            [this](NodeCore& core) { core.Shutdown(now_, wall()); });
 }
 
 void JobSimulation::FreezeNode(int index, Duration length) {
@@ -981,7 +1010,7 @@
   if (!server.up)
     return;
   EndServer(server);
-  After(down, [this, i, same_id] {
+  ScheduleAfter(down, [this, i, same_id] {
     Server& s = *servers_[i];
     if (s.up || s.maintenance)
       return;
@@ -997,7 +1026,7 @@
 }
 
 void JobSimulation::SlowStore(double factor, Duration length) {
-  store_factor_ = factor;
+  store_slowdown_ = factor;
   store_slow_until_ = now_ + length;
 }
 
@@ -1006,9 +1035,10 @@
 }
 
 void JobSimulation::RandomFault() {
-  if (!faults_)
+  if (!faults_enabled_)
     return;
-  After(random_.Exponential(options_.fault_period), [this] { RandomFault(); });
+  ScheduleAfter(random_.Exponential(options_.fault_period),
+                [this] { RandomFault(); });
   ++counts_.faults;
   int node = static_cast<int>(random_.Below(nodes_.size()));
   if (random_.Chance(0.5)) {
@@ -1045,27 +1075,28 @@
 }
 
 void JobSimulation::Run(Duration length) {
-  callers_on_ = true;
-  if (!submitting_) {
-    submitting_ = true;
-    After(Seconds(2), [this] { SubmitJob(); });
+  submissions_enabled_ = true;
+  if (!submission_scheduled_) {
+    submission_scheduled_ = true;
+    ScheduleAfter(Seconds(2), [this] { SubmitJob(); });
   }
-  if (options_.fault_period > Duration::zero() && !faults_) {
-    faults_ = true;
-    After(Seconds(3), [this] { RandomFault(); });
+  if (options_.fault_period > Duration::zero() && !faults_enabled_) {
+    faults_enabled_ = true;
+    ScheduleAfter(Seconds(3), [this] { RandomFault(); });
   }
   RunUntil(now_ + length);
 }
 
-void JobSimulation::Settle() {
-  callers_on_ = false;
-  faults_ = false;
-  options_.lost_answers = 0;
-  options_.late_orders = 0;
+void JobSimulation::FinishJobs() {
+  submissions_enabled_ = false;
+  faults_enabled_ = false;
+  options_.lost_answer_share = 0;
+  options_.late_order_share = 0;
   RunUntil(now_ + Seconds(40));
   for (const auto& [id, caller] : callers_) {
-    if (caller->started && caller->refused_only)
-      Violation(id.str() + " has run, and all tries were refused");
+    if (caller->task_started && caller->all_submissions_refused)
+      AddViolation(id.str() +
+                   " has run although all of its submissions were refused");
   }
 }
 
--- a/radishmoor/jobs/testing/job_simulation.h
+++ b/radishmoor/jobs/testing/job_simulation.h
@@ -1,11 +1,12 @@
-// A whole site of job schedulers in virtual time: processes, backend servers,
-// hosts, the store and callers, with faults drawn from a seed. What must always
-// hold is checked where it shows: at the servers and at the callers.
+// Simulation of a whole site in virtual time: scheduler processes (nodes),
+// backend servers, hosts, the store and callers, with random faults. Everything
+// random follows from the seed. The scheduler's invariants are checked at the
+// servers, when a run starts, and at the callers, when an answer arrives.
 //
-//   JobSimulation world({.seed = 7});
-//   world.Run(Seconds(40));
-//   world.Settle();
-//   REQUIRE(world.violations().empty());
+//   JobSimulation simulation({.seed = 7});
+//   simulation.Run(Seconds(40));
+//   simulation.FinishJobs();
+//   REQUIRE(simulation.violations().empty());
 
 #ifndef RADISHMOOR_JOBS_TESTING_JOB_SIMULATION_H_
 #define RADISHMOOR_JOBS_TESTING_JOB_SIMULATION_H_
@@ -30,12 +31,13 @@
   int nodes = 4;
   int servers_per_pool = 4;
   double jobs_per_second = 6;
-  // Mean time between faults; zero: none.
+  // Mean time between faults; zero for no faults.
   Duration fault_period{};
-  // Shares of store writes that are carried out and not answered, and of orders
-  // that are carried out seconds later.
-  double lost_answers = 0;
-  double late_orders = 0;
+  // Share of store writes whose answer is lost although they are performed.
+  double lost_answer_share = 0;
+  // Share of orders, other than polls, that servers perform seconds later.
+  double late_order_share = 0;
+  // Adds a maintenance wave over every second server's host.
   bool wave = false;
 };
 
@@ -47,9 +49,9 @@
   uint64_t failed = 0;
   uint64_t cancelled = 0;
   uint64_t starts = 0;
-  uint64_t lapsed = 0;
+  uint64_t runs_lease_expired = 0;
   uint64_t faults = 0;
-  uint64_t maintained = 0;
+  uint64_t maintained_hosts = 0;  // Maintenance calls that were performed.
 };
 
 class JobSimulation {
@@ -57,35 +59,38 @@
   explicit JobSimulation(const JobSimulationOptions& options);
   ~JobSimulation();
 
-  // Runs with callers and faults.
+  // Simulates `length` with new submissions and random faults.
   void Run(Duration length);
-  // Ends the faults and gives the jobs time to end.
-  void Settle();
+  // Stops submissions and random faults, and simulates 40 s more, in which the
+  // jobs should end.
+  void FinishJobs();
 
   const std::vector<std::string>& violations() const { return violations_; }
   const JobSimulationCounts& counts() const { return counts_; }
-  // Accepted jobs that have not ended and were not cancelled.
+  // Number of accepted jobs that have not ended, long-running ones left out.
   size_t unfinished() const;
 
-  // Faults, also drawn by Run().
+  // Faults. Run() also injects these at random if `fault_period` is set.
   void KillNode(int node, Duration down);
-  void StopNode(int node);  // As by a signal.
+  void StopNode(int node);  // Calls NodeCore::Shutdown(), as on SIGTERM.
   void FreezeNode(int node, Duration length);
   void CutNodeFromStore(int node, Duration length);
   void CutNodeFromServers(int node, Duration length);
-  // From the store, the servers and the other nodes.
+  // Cuts the node off from the store, the servers and the other nodes.
   void CutNodeOff(int node, Duration length);
+  // Starts the server again after `down`, with the same id or a new one.
   void CrashServer(int server, Duration down, bool same_id);
   void StoreOutage(Duration length);
-  // The store's answers and transactions take `factor` times as long.
+  // For `length`, the store's answers and transactions take `factor` times as
+  // long.
   void SlowStore(double factor, Duration length);
 
   Time now() const { return now_; }
-  // When the node last gave an order to start a run in the pool, if ever.
+  // Returns when the node last sent an order to start a run in the pool.
   std::optional<Time> LastStartBy(int node, const PoolId& pool) const;
-  // The node that owns the pool, or -1.
+  // Returns a node that acts as the pool's owner, or -1.
   int OwnerOf(const PoolId& pool) const;
-  // The node takes itself for the pool's owner.
+  // Returns whether the node acts as the pool's owner.
   bool Owns(int node, const PoolId& pool) const;
 
  private:
@@ -94,67 +99,69 @@
   struct Caller;
   struct Event {
     Time at;
-    uint64_t order = 0;
+    uint64_t sequence = 0;  // Orders events at the same time.
     std::function<void()> run;
     bool operator>(const Event& other) const {
-      return std::tie(at, order) > std::tie(other.at, other.order);
+      return std::tie(at, sequence) > std::tie(other.at, other.sequence);
     }
   };
 
-  void At(Time when, std::function<void()> run);
-  void After(Duration delay, std::function<void()> run) {
-    At(now_ + delay, std::move(run));
+  void ScheduleAt(Time when, std::function<void()> run);
+  void ScheduleAfter(Duration delay, std::function<void()> run) {
+    ScheduleAt(now_ + delay, std::move(run));
   }
   void RunUntil(Time end);
-  Duration Latency();
+  Duration RandomLatency();
   WallMillis wall() const;
-  void Violation(std::string what);
+  void AddViolation(std::string what);
 
   void StartNode(int index);
-  // Runs `step` on the node's core if that life of it is still there, later if
-  // it is frozen; then carries out what the core asks for.
-  void OnNode(int index,
-              uint64_t incarnation_number,
-              std::function<void(NodeCore&)> step);
-  void Carry(int index, JobAction action);
-  void Wake(int index);
-  void CarryStore(int index,
-                  uint64_t incarnation_number,
-                  const StoreCall& call);
-  // When a call that arrives at `arrives` is carried out; nothing if too many
-  // transactions wait for its partition.
-  std::optional<Time> StoreTurn(Time arrives, const StoreRequest& request);
-  Duration Slowed(Duration usual) const;
-  void CarryOrder(int index,
-                  uint64_t incarnation_number,
-                  const OrderToServer& order);
-  void CarryHostCall(int index,
-                     uint64_t incarnation_number,
-                     const HostCall& call);
+  // Calls `callback` with the node's core and performs the actions that result.
+  // Does nothing if that incarnation of the node has ended. Waits while the
+  // node is frozen.
+  void RunOnNode(int index,
+                 uint64_t incarnation_number,
+                 std::function<void(NodeCore&)> callback);
+  void PerformAction(int index, JobAction action);
+  void ScheduleTick(int index);
+  void PerformStoreCall(int index,
+                        uint64_t incarnation_number,
+                        const StoreCall& call);
+  // Returns when the store performs a request that arrives at `arrives`, or
+  // nullopt if it refuses the request because too much work waits for the
+  // partition.
+  std::optional<Time> RequestDoneAt(Time arrives, const StoreRequest& request);
+  Duration WithStoreSlowdown(Duration usual) const;
+  void PerformOrder(int index,
+                    uint64_t incarnation_number,
+                    const OrderToServer& order);
+  void PerformHostCall(int index,
+                       uint64_t incarnation_number,
+                       const HostCall& call);
   void DeliverOperatorChanges(int index,
                               uint64_t incarnation_number,
-                              const WatchOperatorChanges& follow);
+                              const WatchOperatorChanges& watch);
   std::vector<ServerListing> Listings() const;
 
   void StartServer(size_t index, ServerId id);
   void EndServer(Server& server);
-  ServerReply Apply(Server& server, const OrderToServer& order);
+  ServerReply ApplyOrder(Server& server, const OrderToServer& order);
   void ApplyStart(Server& server, const StartRun& start, ServerReply& reply);
   void CheckStart(const Server& server, const StartRun& start);
   void EndRun(Server& server, const TaskId& task, RunEnd end);
-  void ExpireLeases(Server& server);
-  ServerMillis ClockOf(const Server& server) const;
+  void EndRunsIfLeaseExpired(Server& server);
+  ServerMillis ServerClock(const Server& server) const;
 
   void SubmitJob();
   void SendCall(Caller& caller, JobCallRequest request);
-  void OnAnswer(const JobCallAnswer& answer);
+  void OnCallAnswer(const JobCallAnswer& answer);
   void PollJob(const JobId& id);
   void RandomFault();
 
   JobSimulationOptions options_;
   Random random_;
   Time now_ = kTimeZero + Seconds(1000);
-  uint64_t next_order_ = 0;
+  uint64_t next_event_sequence_ = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   MemoryTable table_;
   JobConfig config_;
@@ -167,15 +174,15 @@
   JobCallId next_call_ = 1;
   uint64_t next_server_ = 1;
   Time store_down_until_;
-  double store_factor_ = 1;
+  double store_slowdown_ = 1;
   Time store_slow_until_;
-  // Until when each partition carries out what has arrived.
-  std::map<std::string, Time> partitions_;
+  // When each partition will have performed the transactions that have arrived.
+  std::map<std::string, Time> partition_busy_until_;
   std::vector<MaintenanceWave> waves_;
   std::set<uint64_t> completed_waves_;
-  bool faults_ = false;
-  bool callers_on_ = false;
-  bool submitting_ = false;  // The next submission is scheduled.
+  bool faults_enabled_ = false;
+  bool submissions_enabled_ = false;
+  bool submission_scheduled_ = false;
   std::vector<std::string> violations_;
   JobSimulationCounts counts_;
 };
--- a/radishmoor/jobs/testing/job_soak_bench.cc
+++ b/radishmoor/jobs/testing/job_soak_bench.cc
@@ -1,8 +1,9 @@
-// Random runs of a whole site of job schedulers in virtual time.
+// Runs simulations of a whole site of job schedulers with random faults, one
+// per seed, until the given number of events was simulated.
 //
 //   job_soak_bench --seed 1 --events 10000000
 //
-// Prints each violation with its seed; the exit code is 1 if there was one.
+// Prints each violation with its seed. The exit code is 1 if there was any.
 
 #include <tclap/CmdLine.h>
 
@@ -20,8 +21,8 @@
   options.seed = seed;
   options.nodes = 3 + static_cast<int>(seed % 4);
   options.fault_period = Milliseconds(600 + 400 * static_cast<int>(seed % 5));
-  options.lost_answers = seed % 3 == 0 ? 0.15 : 0.02;
-  options.late_orders = seed % 2 == 0 ? 0.05 : 0.0;
+  options.lost_answer_share = seed % 3 == 0 ? 0.15 : 0.02;
+  options.late_order_share = seed % 2 == 0 ? 0.05 : 0.0;
   options.wave = seed % 4 == 0;
   return options;
 }
@@ -29,10 +30,12 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  TCLAP::CmdLine command("Random runs of a site of job schedulers.");
+  TCLAP::CmdLine command(
+      "Simulates a site of job schedulers with random faults.");
   TCLAP::ValueArg<uint64_t> seed("", "seed", "First seed.", false, 1, "number",
                                  command);
-  TCLAP::ValueArg<uint64_t> events("", "events", "Events to run.", false,
+  TCLAP::ValueArg<uint64_t> events("", "events",
+                                   "Events to simulate, at least.", false,
                                    1'000'000, "number", command);
   command.parse(argc, argv);
   uint64_t total = 0;
@@ -41,19 +44,19 @@
   uint64_t violations = 0;
   uint64_t next = seed.getValue();
   for (; total < events.getValue(); ++next) {
-    JobSimulation world(OptionsOf(next));
-    world.Run(Seconds(60));
-    world.Settle();
-    total += world.counts().events;
-    faults += world.counts().faults;
-    accepted += world.counts().accepted;
-    for (const std::string& violation : world.violations()) {
+    JobSimulation simulation(OptionsOf(next));
+    simulation.Run(Seconds(60));
+    simulation.FinishJobs();
+    total += simulation.counts().events;
+    faults += simulation.counts().faults;
+    accepted += simulation.counts().accepted;
+    for (const std::string& violation : simulation.violations()) {
       ++violations;
       std::cout << "seed " << next << " " << violation << "\n";
     }
-    if (world.unfinished() > 0) {
+    if (simulation.unfinished() > 0) {
       ++violations;
-      std::cout << "seed " << next << " " << world.unfinished()
+      std::cout << "seed " << next << " " << simulation.unfinished()
                 << " jobs have not ended\n";
     }
   }
--- a/radishmoor/jobs/testing/node_core_test.cc
+++ b/radishmoor/jobs/testing/node_core_test.cc
@@ -8,7 +8,7 @@
 namespace radishmoor {
 namespace {
 
-JobConfig OneQueue() {
+JobConfig ConfigWithOneQueue() {
   JobConfig config;
   config.version = 1;
   config.pools = {{PoolId("p")}};
@@ -21,7 +21,7 @@
   return config;
 }
 
-JobCall Submission(Time now) {
+JobCall MakeSubmission(Time now) {
   JobCall call;
   call.id = 7;
   call.arrived = now;
@@ -35,18 +35,19 @@
   return call;
 }
 
-// A process whose store answers nothing but the configuration.
+// A scheduler process whose store answers only the request for the
+// configuration.
 class SilentStoreNode {
  public:
   SilentStoreNode() : core_(NodeOptions{.name = MemberId("n")}) {
     core_.Start(now, 0);
-    Collect();
+    HandleActions();
   }
 
-  void Collect() {
+  void HandleActions() {
     for (const JobAction& action : core_.TakeActions()) {
-      if (const auto* follow = std::get_if<WatchOperatorChanges>(&action))
-        Answer(*follow);
+      if (const auto* watch = std::get_if<WatchOperatorChanges>(&action))
+        AnswerWatch(*watch);
       if (const auto* answer = std::get_if<JobCallAnswer>(&action))
         answered = {now, answer->outcome};
       if (std::holds_alternative<EndJobProcess>(action))
@@ -57,7 +58,7 @@
   void RunUntil(Time end) {
     for (; now < end && !ended; now += Milliseconds(50)) {
       core_.Tick(now, 0);
-      Collect();
+      HandleActions();
     }
   }
 
@@ -68,32 +69,32 @@
   std::optional<Time> ended;
 
  private:
-  void Answer(const WatchOperatorChanges& follow) {
-    if (follow.after != 0)
+  void AnswerWatch(const WatchOperatorChanges& watch) {
+    if (watch.after != 0)
       return;
     OperatorChanges reply;
-    reply.tag = follow.tag;
+    reply.tag = watch.tag;
     reply.answered = true;
     reply.version = 1;
-    reply.config = OneQueue();
+    reply.config = ConfigWithOneQueue();
     core_.OnOperatorChanges(now, 0, reply);
-    Collect();
+    HandleActions();
   }
 
   NodeCore core_;
 };
 
-// Guards against a process that ends with calls that nobody has answered: its
-// grace period may be over before their time limit.
-TEST_CASE("a call near the end of the grace period is answered", "[node]") {
+// Guards against a process that ends without answering open calls, whose time
+// limit may be later than the end of the grace period.
+TEST_CASE("an open call is answered before the grace period ends", "[node]") {
   SilentStoreNode node;
   node.RunUntil(node.now + Milliseconds(200));
   Time stopped = node.now;
   node.core().Shutdown(node.now, 0);
-  node.Collect();
+  node.HandleActions();
   node.RunUntil(stopped + Milliseconds(2800));
-  node.core().OnCall(node.now, 0, Submission(node.now));
-  node.Collect();
+  node.core().OnCall(node.now, 0, MakeSubmission(node.now));
+  node.HandleActions();
   CHECK_FALSE(node.answered);
   node.RunUntil(stopped + Seconds(8));
   REQUIRE(node.ended);
