--- a/radishmoor/jobs/node_core.cc
+++ b/radishmoor/jobs/node_core.cc
@@ -220,7 +220,7 @@
 void NodeCore::OnProcessResumed(Time now, WallMillis wall) {
   outbox_.LogDecision("process-resumed", {});
   for (auto& [pool, scheduler] : schedulers_)
-    scheduler->Resumed();
+    scheduler->OnProcessResumed();
   RunPendingWork(now, wall);
 }
 
@@ -315,7 +315,7 @@
       options.bounds = options_.bounds;
       options.token = lease.token;
       options.lease_version = lease.version;
-      options.lease_taken = lease.sent_at;
+      options.lease_taken_at = lease.sent_at;
       options.first_owner = lease.first_owner;
       fleet_ = std::make_unique<FleetCoordinator>(options, forecast_, outbox_);
       fleet_->OnConfig(config_);
@@ -331,7 +331,7 @@
       options.bounds = options_.bounds;
       options.token = lease.token;
       options.lease_version = lease.version;
-      options.lease_taken = lease.sent_at;
+      options.lease_taken_at = lease.sent_at;
       options.earlier_leases_until = EarlierLeasesUntil(lease);
       schedulers_[lease.pool] =
           std::make_unique<PoolScheduler>(options, config_, outbox_);
@@ -518,8 +518,9 @@
   if (schedulers_.empty() || !IsDue(now, server_list_tag_, next_server_list_))
     return;
   bool lacks_servers = std::any_of(
-      schedulers_.begin(), schedulers_.end(),
-      [now](const auto& entry) { return entry.second->expects_servers(now); });
+      schedulers_.begin(), schedulers_.end(), [now](const auto& entry) {
+        return entry.second->is_short_of_servers(now);
+      });
   Duration period = std::clamp(
       kServerListPeriodPerServer * static_cast<int64_t>(servers_.size()),
       kMinServerListPeriod, kMaxServerListPeriod);
@@ -550,9 +551,9 @@
 }
 
 void NodeCore::RefreshHostList(Time now) {
-  bool wanted = fleet_ != nullptr && fleet_->wants_hosts();
+  bool wanted = fleet_ != nullptr && fleet_->needs_host_list();
   for (const auto& [pool, scheduler] : schedulers_)
-    wanted = wanted || scheduler->wants_hosts(now);
+    wanted = wanted || scheduler->needs_host_list(now);
   if (!wanted || !IsDue(now, host_list_tag_, next_host_list_))
     return;
   next_host_list_ = now + kHostListPeriod;
@@ -567,7 +568,7 @@
   Duration limit = options_.grace - kShutdownMargin;
   bool unanswered = request_handler_.open_calls() > 0;
   if (stopping >= limit)
-    request_handler_.EndCalls(outbox_);
+    request_handler_.RefuseOpenCalls(outbox_);
   bool served =
       stopping >= kServeAfterShutdown && !unanswered && !OwnsAnyPool();
   bool over = stopping >= limit && !unanswered;
--- a/radishmoor/jobs/node_core.h
+++ b/radishmoor/jobs/node_core.h
@@ -62,7 +62,7 @@
   void Tick(Time now, WallMillis wall);
   // Reports that the process was suspended for a time that the monotonic clock
   // did not count.
-  void Resumed(Time now, WallMillis wall);
+  void OnProcessResumed(Time now, WallMillis wall);
   // Starts to release all owned leases to other processes, and ends the process
   // within the grace period. Repeated calls have no effect.
   void Shutdown(Time now, WallMillis wall);
