--- a/radishmoor/jobs/commit_chain.cc
+++ b/radishmoor/jobs/commit_chain.cc
@@ -95,7 +95,7 @@
   lease.released = commit.released;
   lease.successor = successor_;
   // Whole milliseconds, rounded up.
-  lease.earlier_leases =
+  lease.earlier_leases_remaining =
       std::max(Duration::zero(), options_.earlier_leases_until - now) +
       Milliseconds(1);
   if (store_clock_)
--- a/radishmoor/jobs/job_rows.cc
+++ b/radishmoor/jobs/job_rows.cc
@@ -227,7 +227,7 @@
   wire.sequence = static_cast<int64_t>(lease.sequence);
   wire.released = lease.released;
   wire.successor = lease.successor.str();
-  wire.earlier_leases_ms = WholeMilliseconds(lease.earlier_leases);
+  wire.earlier_leases_ms = WholeMilliseconds(lease.earlier_leases_remaining);
   wire.store_clock_ms = WholeMilliseconds(lease.store_clock);
   return ToBytes(wire);
 }
--- a/radishmoor/jobs/job_rows.h
+++ b/radishmoor/jobs/job_rows.h
@@ -90,7 +90,7 @@
   MemberId successor;
   // How long after this row was written leases of backend servers may last that
   // were granted by owners before the holder.
-  Duration earlier_leases{};
+  Duration earlier_leases_remaining{};
   // The store's clock when the holder sent the row, or somewhat earlier. Zero
   // if the holder did not know it.
   Duration store_clock{};
--- a/radishmoor/jobs/node_core.cc
+++ b/radishmoor/jobs/node_core.cc
@@ -53,7 +53,7 @@
   Duration length = JobPoolState::kLease + JobPoolState::kLeaseSlack;
   if (lease.first_owner)
     return kTimeZero;
-  Time earlier = lease.last_renewed_before + lease.earlier_leases;
+  Time earlier = lease.last_renewed_before + lease.earlier_leases_remaining;
   if (lease.was_released)
     return std::max(earlier, lease.sent_at + length);
   return std::max(
@@ -122,7 +122,9 @@
   RunPendingWork(now, wall);
 }
 
-void NodeCore::OnServers(Time now, WallMillis wall, const ServersReply& reply) {
+void NodeCore::OnServerList(Time now,
+                            WallMillis wall,
+                            const ServersReply& reply) {
   if (server_list_tag_ != reply.tag)
     return;
   server_list_tag_ = 0;
@@ -131,7 +133,7 @@
   } else {
     servers_ = reply.servers;
     for (auto& [pool, scheduler] : schedulers_)
-      scheduler->OnServers(now, servers_, outbox_);
+      scheduler->OnServerList(now, servers_, outbox_);
   }
   RunPendingWork(now, wall);
 }
@@ -196,11 +198,11 @@
   RunPendingWork(now, wall);
 }
 
-void NodeCore::OnAdvice(Time now,
-                        WallMillis wall,
-                        const PlacementAdviceReply& reply) {
+void NodeCore::OnPlacementAdvice(Time now,
+                                 WallMillis wall,
+                                 const PlacementAdviceReply& reply) {
   for (auto& [pool, scheduler] : schedulers_) {
-    if (scheduler->OnAdvice(now, reply))
+    if (scheduler->OnPlacementAdvice(now, reply))
       break;
   }
   RunPendingWork(now, wall);
--- a/radishmoor/jobs/node_core.h
+++ b/radishmoor/jobs/node_core.h
@@ -52,12 +52,14 @@
   void OnAbandoned(Time now, WallMillis wall, JobCallId call);
   void OnStoreAnswer(Time now, WallMillis wall, const StoreAnswer& answer);
   void OnServerReply(Time now, WallMillis wall, const ServerReply& reply);
-  void OnServers(Time now, WallMillis wall, const ServersReply& reply);
+  void OnServerList(Time now, WallMillis wall, const ServersReply& reply);
   void OnOperatorChanges(Time now,
                          WallMillis wall,
                          const OperatorChanges& reply);
   void OnHostReply(Time now, WallMillis wall, const HostReply& reply);
-  void OnAdvice(Time now, WallMillis wall, const PlacementAdviceReply& reply);
+  void OnPlacementAdvice(Time now,
+                         WallMillis wall,
+                         const PlacementAdviceReply& reply);
   void OnPeer(Time now, WallMillis wall, const JobPeerEnvelope& envelope);
   void Tick(Time now, WallMillis wall);
   // Reports that the process was suspended for a time that the monotonic clock
--- a/radishmoor/jobs/pool_leases.cc
+++ b/radishmoor/jobs/pool_leases.cc
@@ -150,10 +150,11 @@
                                  RowVersion version) {
   watched.version = version;
   watched.unchanged_since = now;
-  acquired_.push_back(
-      {pool, watched.acquire_token, version, watched.acquire_sent_at,
-       watched.acquire_as_first_owner, watched.acquire_was_released,
-       watched.acquire_renewed_before, watched.acquire_earlier_leases});
+  acquired_.push_back({pool, watched.acquire_token, version,
+                       watched.acquire_sent_at, watched.acquire_as_first_owner,
+                       watched.acquire_was_released,
+                       watched.acquire_renewed_before,
+                       watched.acquire_earlier_leases_remaining});
   SetOwned(now, pool, true);
 }
 
@@ -273,8 +274,8 @@
   watched.acquire_as_first_owner = watched.version == 0;
   watched.acquire_was_released = watched.row && watched.row->released;
   watched.acquire_renewed_before = watched.unchanged_since;
-  watched.acquire_earlier_leases =
-      watched.row ? watched.row->earlier_leases : Duration::zero();
+  watched.acquire_earlier_leases_remaining =
+      watched.row ? watched.row->earlier_leases_remaining : Duration::zero();
   watched.acquire_sent_at = now;
   Transaction transaction;
   transaction.expects.push_back({OwnerLeaseKey(pool), watched.version});
--- a/radishmoor/jobs/pool_leases.h
+++ b/radishmoor/jobs/pool_leases.h
@@ -43,7 +43,7 @@
   Time last_renewed_before;
   // How long after last_renewed_before server leases may last that were granted
   // by owners before the previous one.
-  Duration earlier_leases{};
+  Duration earlier_leases_remaining{};
 };
 
 // A scheduler process that may own pools.
@@ -125,7 +125,7 @@
     bool acquire_as_first_owner = false;
     bool acquire_was_released = false;
     Time acquire_renewed_before;
-    Duration acquire_earlier_leases{};
+    Duration acquire_earlier_leases_remaining{};
     // The lease is not acquired earlier if it was released or has no row yet.
     Time acquire_not_before;
   };
--- a/radishmoor/jobs/pool_report.cc
+++ b/radishmoor/jobs/pool_report.cc
@@ -76,7 +76,7 @@
 
 }  // namespace
 
-std::string PoolReport(Time now, const PoolScheduler& scheduler) {
+std::string FormatPoolReport(Time now, const PoolScheduler& scheduler) {
   const JobPoolState& state = scheduler.state();
   std::string text =
       "pool " + state.pool.str() +
--- a/radishmoor/jobs/pool_report.h
+++ b/radishmoor/jobs/pool_report.h
@@ -15,7 +15,7 @@
 
 // Lists at most kMaxReportedJobs jobs, the oldest first. Visits all servers of
 // the pool and sorts all open jobs.
-std::string PoolReport(Time now, const PoolScheduler& scheduler);
+std::string FormatPoolReport(Time now, const PoolScheduler& scheduler);
 
 }  // namespace radishmoor
 
--- a/radishmoor/jobs/pool_scheduler.cc
+++ b/radishmoor/jobs/pool_scheduler.cc
@@ -367,9 +367,9 @@
   }
 }
 
-void PoolScheduler::OnServers(Time now,
-                              std::span<const ServerListing> listings,
-                              Outbox& outbox) {
+void PoolScheduler::OnServerList(Time now,
+                                 std::span<const ServerListing> listings,
+                                 Outbox& outbox) {
   std::set<ServerId> listed_ids;
   for (const ServerListing& listing : listings) {
     if (listing.pool != state_.pool &&
@@ -462,7 +462,8 @@
   return true;
 }
 
-bool PoolScheduler::OnAdvice(Time now, const PlacementAdviceReply& reply) {
+bool PoolScheduler::OnPlacementAdvice(Time now,
+                                      const PlacementAdviceReply& reply) {
   if (!state_.advice.OnReply(now, reply))
     return false;
   plan_needed_ = true;
--- a/radishmoor/jobs/pool_scheduler.h
+++ b/radishmoor/jobs/pool_scheduler.h
@@ -4,7 +4,7 @@
 //
 //   // After this process has acquired the pool's lease:
 //   PoolScheduler scheduler(options, config, outbox);
-//   scheduler.OnServers(now, listings, outbox);
+//   scheduler.OnServerList(now, listings, outbox);
 //   scheduler.OnStoreAnswer(now, wall, answer, outbox);
 //   scheduler.Tick(now, wall, outbox);
 //
@@ -67,16 +67,16 @@
   // True if a server with runs does not answer. The platform's list of hosts
   // shows whether the server still exists.
   bool needs_host_list(Time now) const;
-  void OnServers(Time now,
-                 std::span<const ServerListing> listings,
-                 Outbox& outbox);
+  void OnServerList(Time now,
+                    std::span<const ServerListing> listings,
+                    Outbox& outbox);
   // These three return true if the answer belongs to a request of this pool.
   bool OnStoreAnswer(Time now,
                      WallMillis wall,
                      const StoreAnswer& answer,
                      Outbox& outbox);
   bool OnServerReply(Time now, const ServerReply& reply, Outbox& outbox);
-  bool OnAdvice(Time now, const PlacementAdviceReply& reply);
+  bool OnPlacementAdvice(Time now, const PlacementAdviceReply& reply);
 
   void OnJobNotice(Time now,
                    const MemberId& from,
--- a/radishmoor/jobs/testing/job_simulation.cc
+++ b/radishmoor/jobs/testing/job_simulation.cc
@@ -243,7 +243,7 @@
       if (reached)
         reply.servers = Listings();
       RunOnNode(index, incarnation_number, [this, reply](NodeCore& core) {
-        core.OnServers(now_, wall(), reply);
+        core.OnServerList(now_, wall(), reply);
       });
     });
   } else if (auto* watch = std::get_if<WatchOperatorChanges>(&action)) {
--- a/radishmoor/jobs/testing/pool_scheduler_test.cc
+++ b/radishmoor/jobs/testing/pool_scheduler_test.cc
@@ -208,7 +208,7 @@
                                 harness.outbox_);
     harness.Run(Milliseconds(5));
   }
-  std::string report = PoolReport(harness.now_, *harness.owner_);
+  std::string report = FormatPoolReport(harness.now_, *harness.owner_);
   REQUIRE(report.starts_with("pool a token=1 loaded=1"));
   REQUIRE(report.find("queue q pending=105") != std::string::npos);
   REQUIRE(report.find("job job1000 ") < report.find("job job1001 "));
