--- a/radishmoor/jobs/commit_chain.cc
+++ b/radishmoor/jobs/commit_chain.cc
@@ -104,7 +104,7 @@
   lease.released = commit.released;
   lease.successor = successor_;
   // The row holds whole milliseconds; adding one rounds up.
-  lease.earlier_leases =
+  lease.earlier_leases_remaining =
       std::max(Duration::zero(), options_.earlier_leases_until - now) +
       Milliseconds(1);
   if (store_clock_)
--- a/radishmoor/jobs/messages.h
+++ b/radishmoor/jobs/messages.h
@@ -334,8 +334,8 @@
 
 enum class VacateState : uint8_t {
   kEmptying,
-  // The server has no runs, and the owner starts none on it for kVacateHold
-  // after this answer.
+  // The server has no runs, and the owner starts none on it for
+  // kVacateRequestLifetime after this answer.
   kEmpty,
   kUnknownServer,
 };
--- a/radishmoor/jobs/server_table.h
+++ b/radishmoor/jobs/server_table.h
@@ -113,7 +113,7 @@
     return listed && listing.pool == pool && !listing.draining;
   }
   // Returns the capacity that no run uses.
-  Resources Room() const {
+  Resources FreeResources() const {
     Resources room = listing.capacity;
     room -= used;
     return room;
