--- a/radishmoor/jobs/commit_chain.cc
+++ b/radishmoor/jobs/commit_chain.cc
@@ -69,7 +69,7 @@
   return full ? Duration::zero() : kMinCommitInterval;
 }
 
-Time CommitChain::ready_at() const {
+Time CommitChain::earliest_commit_at() const {
   if (commit_.tag != 0 || lost_ || released_)
     return kTimeMax;
   return std::max(last_sent_ + MinCommitInterval(), retry_not_before_);
@@ -255,7 +255,7 @@
   for (const InFlight::JobSnapshot& snapshot : commit_.jobs) {
     Job* job = state_.jobs.Find(snapshot.job);
     if (job != nullptr)
-      state_.jobs.Touch(*job);
+      state_.jobs.MarkChanged(*job);
   }
   for (const RunRef& ref : commit_.starts)
     state_.planned[ref.task.job].push_back(ref);
--- a/radishmoor/jobs/commit_chain.h
+++ b/radishmoor/jobs/commit_chain.h
@@ -53,7 +53,7 @@
   Time next_wake() const { return next_wake_; }
   // Returns the earliest time at which a commit with changes can be sent;
   // kTimeMax while one is in flight and after the lease was lost or released.
-  Time ready_at() const;
+  Time earliest_commit_at() const;
 
   // Returns true if the answer belongs to the commit in flight. Fills `stored`
   // if that commit was stored.
--- a/radishmoor/jobs/job_table.cc
+++ b/radishmoor/jobs/job_table.cc
@@ -173,9 +173,9 @@
   return occurrence;
 }
 
-std::optional<WallMillis> JobTable::CreateDue(Job& job,
-                                              Time now,
-                                              WallMillis wall) {
+std::optional<WallMillis> JobTable::CreateDueOccurrences(Job& job,
+                                                         Time now,
+                                                         WallMillis wall) {
   if (!job.spec.scheduled() || IsFinal(job.state))
     return std::nullopt;
   uint32_t next = job.finished_below;
@@ -214,7 +214,7 @@
   task.done = true;
   task.checkpoint.clear();
   ++occurrence.done_in_step[task.step];
-  Touch(job);
+  MarkChanged(job);
   for (const Task& other : occurrence.tasks) {
     if (!other.done)
       return;
@@ -237,10 +237,10 @@
     return;
   job.state = state;
   job.ended = now;
-  Touch(job);
+  MarkChanged(job);
 }
 
-void JobTable::Touch(Job& job) {
+void JobTable::MarkChanged(Job& job) {
   ++job.changes;
   if (job.dirty != 0)
     return;
--- a/radishmoor/jobs/job_table.h
+++ b/radishmoor/jobs/job_table.h
@@ -158,7 +158,9 @@
   // Creates the occurrences that are due at `now`; `wall` is the same time in
   // Unix ms. Returns the due time of the next one in Unix ms, if there is any.
   // That time may have passed: one call creates at most 16 occurrences.
-  std::optional<WallMillis> CreateDue(Job& job, Time now, WallMillis wall);
+  std::optional<WallMillis> CreateDueOccurrences(Job& job,
+                                                 Time now,
+                                                 WallMillis wall);
 
   // Returns true if all steps that have to succeed before the task starts have
   // done so.
@@ -174,7 +176,7 @@
 
   // Records that the job has a change that the stored progress does not show
   // yet.
-  void Touch(Job& job);
+  void MarkChanged(Job& job);
   // Jobs with changes that are neither stored nor in the commit in flight, in
   // the order in which they changed first. The keys are sequence numbers.
   const std::map<uint64_t, JobId>& dirty() const { return dirty_; }
--- a/radishmoor/jobs/node_core.cc
+++ b/radishmoor/jobs/node_core.cc
@@ -50,7 +50,8 @@
 // Returns the time by which all leases have expired that earlier owners of the
 // pool may have granted to backend servers.
 Time EarlierLeasesUntil(const AcquiredLease& lease) {
-  Duration length = JobPoolState::kLease + JobPoolState::kLeaseSlack;
+  Duration length =
+      JobPoolState::kServerLease + JobPoolState::kServerLeaseSlack;
   if (lease.first_owner)
     return kTimeZero;
   Time earlier = lease.last_renewed_before + lease.earlier_leases_remaining;
--- a/radishmoor/jobs/pool_scheduler.cc
+++ b/radishmoor/jobs/pool_scheduler.cc
@@ -248,7 +248,7 @@
     Job& job = *state_.jobs.Find(notice.job);
     if (store) {
       job.definition_stored = false;
-      state_.jobs.Touch(job);
+      state_.jobs.MarkChanged(job);
     } else {
       RemoveRow(InboxKey(state_.pool, kInboxSubmitted, notice.job));
     }
@@ -358,7 +358,8 @@
       continue;
     }
     size_t before = job->occurrences.size();
-    std::optional<WallMillis> next = state_.jobs.CreateDue(*job, now, wall);
+    std::optional<WallMillis> next =
+        state_.jobs.CreateDueOccurrences(*job, now, wall);
     plan_needed_ = plan_needed_ || job->occurrences.size() != before;
     if (next)
       Wake(now + std::min(Milliseconds(std::max<WallMillis>(1, *next - wall)),
@@ -376,7 +377,7 @@
         state_.servers.Find(listing.id) == nullptr)
       continue;
     listed_ids.insert(listing.id);
-    ServerState& server = state_.servers.Ensure(listing.id);
+    ServerState& server = state_.servers.FindOrAdd(listing.id);
     bool joined = !server.listed;
     bool starts_draining = listing.draining && !server.listing.draining;
     server.listing = listing;
@@ -580,12 +581,12 @@
     }
     // A plan takes effect only with the commit that stores it, so it is made
     // just before the next commit can be sent.
-    if (plan_needed_ && now >= chain_.ready_at()) {
+    if (plan_needed_ && now >= chain_.earliest_commit_at()) {
       plan_needed_ = false;
       dispatch_.PlanReadyTasks(now, outbox);
     }
     if (plan_needed_)
-      Wake(chain_.ready_at());
+      Wake(chain_.earliest_commit_at());
     if (!state_.jobs.open().empty())
       Wake(last_reviewed_at_ + kReviewPeriod);
   }
--- a/radishmoor/jobs/pool_state.h
+++ b/radishmoor/jobs/pool_state.h
@@ -67,7 +67,7 @@
       : pool(std::move(pool_id)), bounds(platform_bounds) {}
 
   // Returns the length of the leases that this owner gives to backend servers.
-  Duration lease() const { return std::min(bounds.max_lease, kLease); }
+  Duration lease() const { return std::min(bounds.max_lease, kServerLease); }
 
   PoolId pool;
   PlatformBounds bounds;
@@ -90,11 +90,11 @@
   // Length of the leases that owners give to backend servers. It is long enough
   // for runs to survive a change of the owner, and short enough that the tasks
   // of a lost server start again soon.
-  static constexpr Duration kLease = Milliseconds(3000);
-  // Time by which a lease may last longer than kLease after the owner decided
-  // to give it: a server's clock may be slow by 2%, and an order takes time to
-  // arrive.
-  static constexpr Duration kLeaseSlack = Milliseconds(260);
+  static constexpr Duration kServerLease = Milliseconds(3000);
+  // Time by which a lease may last longer than kServerLease after the owner
+  // decided to give it: a server's clock may be slow by 2%, and an order takes
+  // time to arrive.
+  static constexpr Duration kServerLeaseSlack = Milliseconds(260);
 
   // Returns the configuration of the job's queue. A queue that is not known is
   // added with default values.
--- a/radishmoor/jobs/run_control.cc
+++ b/radishmoor/jobs/run_control.cc
@@ -124,7 +124,7 @@
   if (!job.begun) {
     job.begun = true;
     job.state = JobState::kInProgress;
-    state_.jobs.Touch(job);
+    state_.jobs.MarkChanged(job);
   }
   uint64_t tag = outbox.SendOrder(server->listing.id, server->listing.address,
                                   state_.token, std::move(start));
@@ -470,7 +470,7 @@
     task->checkpoint = ended.checkpoint;
   if (ended.end == RunEnd::kDone)
     RecordSuccessfulRun(now, *job, *task, *run, server);
-  state_.jobs.Touch(*job);
+  state_.jobs.MarkChanged(*job);
   RemoveRun(now, ref, EndName(ended.end), outbox);
   if (IsFinal(job->state))
     return;
@@ -584,7 +584,7 @@
                                      const Run& run,
                                      ServerState& server) {
   server.failure_score = std::max(0.0, server.failure_score - 1);
-  server.last_success = now;
+  server.last_success_at = now;
   Duration expected = state_.ExpectedRunTime(job, job.StepOf(task));
   // The start of an inherited run is not known, and a run that resumed from a
   // checkpoint did only part of the work.
@@ -711,7 +711,7 @@
   std::erase_if(task->runs,
                 [&ref](const Run& r) { return r.number == ref.run; });
   task->ready_since = now;
-  state_.jobs.Touch(*job);
+  state_.jobs.MarkChanged(*job);
   to_close_.insert(job->id);
 }
 
--- a/radishmoor/jobs/server_table.cc
+++ b/radishmoor/jobs/server_table.cc
@@ -47,7 +47,7 @@
   return it == servers_.end() ? nullptr : &it->second;
 }
 
-ServerState& ServerTable::Ensure(const ServerId& id) {
+ServerState& ServerTable::FindOrAdd(const ServerId& id) {
   ServerState& server = servers_[id];
   server.listing.id = id;
   return server;
@@ -56,7 +56,7 @@
 void ServerTable::AddRun(const ServerId& server,
                          const RunRef& run,
                          const Resources& request) {
-  ServerState& state = Ensure(server);
+  ServerState& state = FindOrAdd(server);
   state.runs.push_back(run);
   state.used += request;
 }
--- a/radishmoor/jobs/server_table.h
+++ b/radishmoor/jobs/server_table.h
@@ -99,7 +99,7 @@
   double failure_score = 0;
   // No run is started on the server before this time.
   Time quarantined_until;
-  Time last_success;  // When the last successful end was applied.
+  Time last_success_at;  // When the last successful end was applied.
 
   Time pace_changed_at;  // When the pace of a run was last changed.
 
@@ -126,7 +126,7 @@
  public:
   ServerState* Find(const ServerId& id);
   // Returns the state of the server, after adding it if it is not in the table.
-  ServerState& Ensure(const ServerId& id);
+  ServerState& FindOrAdd(const ServerId& id);
   void Erase(const ServerId& id) { servers_.erase(id); }
   std::map<ServerId, ServerState>& all() { return servers_; }
   const std::map<ServerId, ServerState>& all() const { return servers_; }
--- a/radishmoor/jobs/task_dispatch.cc
+++ b/radishmoor/jobs/task_dispatch.cc
@@ -76,7 +76,7 @@
     s.free_resources = server.FreeResources();
     s.slowness = server.slowness;
     s.trusted = server.failure_score < 1 ||
-                now - server.last_success <= kMaxTrustedSuccessAge;
+                now - server.last_success_at <= kMaxTrustedSuccessAge;
     for (const RunRef& ref : server.runs) {
       const Job* job = state_.jobs.Find(ref.task.job);
       if (job == nullptr || ref.task.step >= job->spec.steps.size())
@@ -398,7 +398,7 @@
   task.runs.push_back(std::move(run));
   server.free_resources -= request;
   state_.planned[job.id].push_back(ref);
-  state_.jobs.Touch(job);
+  state_.jobs.MarkChanged(job);
 }
 
 void TaskDispatch::ReserveServer(const Job& job,
--- a/radishmoor/jobs/testing/task_dispatch_test.cc
+++ b/radishmoor/jobs/testing/task_dispatch_test.cc
@@ -19,7 +19,7 @@
   }
 
   ServerState& AddServer(const char* name) {
-    ServerState& server = state_.servers.Ensure(ServerId(name));
+    ServerState& server = state_.servers.FindOrAdd(ServerId(name));
     server.listing.pool = state_.pool;
     server.listing.address = "10.0.0.1:1";
     server.listing.capacity = {16000, 64000, 0};
