--- a/radishmoor/control/control_core.cc
+++ b/radishmoor/control/control_core.cc
@@ -8,14 +8,14 @@
 namespace {
 
 constexpr uint64_t kOwners = 8;  // At least the number of CallOwner values.
-constexpr Duration kScanWhileDraining = Milliseconds(500);
-constexpr Duration kScanOtherwise = Seconds(5);
+constexpr Duration kScanPeriodWhileDraining = Milliseconds(500);
+constexpr Duration kIdleScanPeriod = Seconds(5);
 // Keeps scans within a third of the 9 KB/s that a node may spend on control.
 constexpr int64_t kScanBytesPerSecond = 3000;
 // All members of the design size fit: a drain gate needs rows of one read,
 // since a process may move from a sponsor to a row of its own between two
 // pages.
-constexpr uint32_t kScanLimit = 1000;
+constexpr uint32_t kScanRowLimit = 1000;
 constexpr Duration kHostListPeriod = Seconds(5);
 // One may fail without a stop of the round.
 constexpr size_t kObservedCanaries = 3;
@@ -24,7 +24,7 @@
 constexpr int64_t kHostListBytesPerSecond = 2000;
 constexpr int64_t kHostListEntryBytes = 40;  // Without the name.
 // Leases change with time as well as with events.
-constexpr Duration kLeasePeriod = Milliseconds(500);
+constexpr Duration kLeaseCheckPeriod = Milliseconds(500);
 
 MemberOptions MemberOptionsOf(const ControlOptions& options) {
   return {.id = options.member,
@@ -66,62 +66,62 @@
       leases_(options_.seed + 2, &member_, &peers_),
       controller_(options_.controller, options_.member, options_.seed + 3) {}
 
-void ControlCore::Enter(Time now, WallMillis wall) {
+void ControlCore::BeginInput(Time now, WallMillis wall) {
   now_ = std::max(now_, now);
   wall_ = wall;
   actions_.clear();
 }
 
-ControlActions ControlCore::Exit() {
-  GiveConfig();
+ControlActions ControlCore::TakeActions() {
+  PassConfigToController();
   return std::exchange(actions_, {});
 }
 
-void ControlCore::Call(CallOwner owner, StoreCall call) {
+void ControlCore::CallStore(CallOwner owner, StoreCall call) {
   call.tag = call.tag * kOwners + static_cast<uint64_t>(owner);
   actions_.push_back(std::move(call));
 }
 
 ControlActions ControlCore::Tick(Time now, WallMillis wall) {
-  Enter(now, wall);
-  Run(view_.Tick(now_));
-  Run(member_.Tick(now_));
-  Run(peers_.Tick(now_, clock_.Tick(wall_)));
-  Run(leases_.Tick(now_));
-  ScanMembers();
-  ReadHosts();
-  GiveLeases();
-  Run(controller_.Tick(now_));
-  return Exit();
+  BeginInput(now, wall);
+  HandleActions(view_.Tick(now_));
+  HandleActions(member_.Tick(now_));
+  HandleActions(peers_.Tick(now_, clock_.Tick(wall_)));
+  HandleActions(leases_.Tick(now_));
+  StartMemberScan();
+  RequestHostList();
+  PassLeasesToController();
+  HandleActions(controller_.Tick(now_));
+  return TakeActions();
 }
 
 Time ControlCore::next_wake() const {
   return std::min({view_.next_wake(), member_.next_wake(), peers_.next_wake(),
                    leases_.next_wake(), controller_.next_wake(),
                    scanning_ ? kTimeMax : next_scan_, next_host_list_,
-                   now_ + kLeasePeriod});
+                   now_ + kLeaseCheckPeriod});
 }
 
 ControlActions ControlCore::Handle(Time now,
                                    WallMillis wall,
                                    const StoreAnswer& answer) {
-  Enter(now, wall);
+  BeginInput(now, wall);
   StoreAnswer inner{answer.tag / kOwners, answer.reply};
   switch (static_cast<CallOwner>(answer.tag % kOwners)) {
     case CallOwner::kConfig:
-      Run(view_.Handle(now_, inner));
+      HandleActions(view_.Handle(now_, inner));
       break;
     case CallOwner::kMember:
-      Run(member_.Handle(now_, inner));
+      HandleActions(member_.Handle(now_, inner));
       break;
     case CallOwner::kPeers:
-      Run(peers_.Handle(now_, inner));
+      HandleActions(peers_.Handle(now_, inner));
       break;
     case CallOwner::kLeases:
-      Run(leases_.Handle(now_, inner));
+      HandleActions(leases_.Handle(now_, inner));
       break;
     case CallOwner::kController:
-      Run(controller_.Handle(now_, inner));
+      HandleActions(controller_.Handle(now_, inner));
       break;
     case CallOwner::kMemberScan:
       // After a pause, an answer to an earlier scan may come during this one;
@@ -134,33 +134,33 @@
         OnHostList(*list);
       break;
   }
-  return Exit();
+  return TakeActions();
 }
 
 ControlActions ControlCore::Handle(Time now,
                                    WallMillis wall,
                                    const PlatformResult& result) {
-  Enter(now, wall);
-  Run(controller_.Handle(now_, result));
-  return Exit();
+  BeginInput(now, wall);
+  HandleActions(controller_.Handle(now_, result));
+  return TakeActions();
 }
 
 ControlActions ControlCore::SetHealth(
     Time now,
     WallMillis wall,
     std::span<const HostObservation> observations) {
-  Enter(now, wall);
-  Run(controller_.SetHealth(now_, observations));
-  return Exit();
+  BeginInput(now, wall);
+  HandleActions(controller_.SetHealth(now_, observations));
+  return TakeActions();
 }
 
 ControlActions ControlCore::Leave(Time now, WallMillis wall) {
-  Enter(now, wall);
+  BeginInput(now, wall);
   leases_.ReleaseAll();
   member_.Leave();
-  Run(leases_.Tick(now_));
-  Run(member_.Tick(now_));
-  return Exit();
+  HandleActions(leases_.Tick(now_));
+  HandleActions(member_.Tick(now_));
+  return TakeActions();
 }
 
 std::vector<const HostState*> ControlCore::ObservedHosts(Time now) const {
@@ -181,10 +181,10 @@
   return hosts;
 }
 
-void ControlCore::Run(std::vector<ConfigAction> actions) {
+void ControlCore::HandleActions(std::vector<ConfigAction> actions) {
   for (ConfigAction& action : actions) {
     if (auto* call = std::get_if<StoreCall>(&action)) {
-      Call(CallOwner::kConfig, std::move(*call));
+      CallStore(CallOwner::kConfig, std::move(*call));
     } else if (auto* in_force = std::get_if<ConfigInForce>(&action)) {
       std::set<PoolId> pools;
       for (const auto& [id, pool] : view_.state().pools)
@@ -194,15 +194,15 @@
       TimelineEvent event;
       event.kind = EventKind::kConfigInForce;
       event.config = in_force->version;
-      Record(std::move(event));
+      RecordEvent(std::move(event));
     }
   }
 }
 
-void ControlCore::Run(std::vector<MemberAction> actions) {
+void ControlCore::HandleActions(std::vector<MemberAction> actions) {
   for (MemberAction& action : actions) {
     if (auto* call = std::get_if<StoreCall>(&action)) {
-      Call(CallOwner::kMember, std::move(*call));
+      CallStore(CallOwner::kMember, std::move(*call));
     } else if (std::holds_alternative<MemberSuperseded>(action)) {
       actions_.push_back(
           EndControlProcess{"a newer process has the same member id"});
@@ -211,34 +211,34 @@
 }
 
 // Heartbeats are not sent: entry processes learn nothing from control.
-void ControlCore::Run(std::vector<PeerAction> actions) {
+void ControlCore::HandleActions(std::vector<PeerAction> actions) {
   for (PeerAction& action : actions) {
     if (auto* call = std::get_if<StoreCall>(&action))
-      Call(CallOwner::kPeers, std::move(*call));
+      CallStore(CallOwner::kPeers, std::move(*call));
   }
 }
 
-void ControlCore::Run(std::vector<LeaseAction> actions) {
+void ControlCore::HandleActions(std::vector<LeaseAction> actions) {
   for (LeaseAction& action : actions) {
     if (auto* call = std::get_if<StoreCall>(&action)) {
-      Call(CallOwner::kLeases, std::move(*call));
+      CallStore(CallOwner::kLeases, std::move(*call));
       continue;
     }
     auto* acquired = std::get_if<LeaseAcquired>(&action);
     TimelineEvent event;
     event.kind = acquired ? EventKind::kLeaseAcquired : EventKind::kLeaseLost;
     event.pool = acquired ? acquired->pool : std::get<LeaseEnded>(action).pool;
-    Record(std::move(event));
-    GiveLeases();
+    RecordEvent(std::move(event));
+    PassLeasesToController();
   }
 }
 
-void ControlCore::Run(std::vector<FleetAction> actions) {
+void ControlCore::HandleActions(std::vector<FleetAction> actions) {
   for (FleetAction& action : actions) {
     if (auto* call = std::get_if<StoreCall>(&action)) {
-      Call(CallOwner::kController, std::move(*call));
+      CallStore(CallOwner::kController, std::move(*call));
     } else if (auto* event = std::get_if<TimelineEvent>(&action)) {
-      Record(std::move(*event));
+      RecordEvent(std::move(*event));
     } else if (auto* checkpoint = std::get_if<CheckpointTasks>(&action)) {
       actions_.push_back(std::move(*checkpoint));
     } else if (auto* reboot = std::get_if<RebootHost>(&action)) {
@@ -253,25 +253,26 @@
 
 // The controller decides only on a state that belongs to the head row whose
 // version its change will expect.
-void ControlCore::GiveConfig() {
+void ControlCore::PassConfigToController() {
   const Row& row = view_.head_row();
-  if (row.version == given_head_ || row.version == 0)
+  if (row.version == passed_head_row_ || row.version == 0)
     return;
   ConfigHead head = DecodeHead(row.value);
   if (head.version != view_.version())
     return;
-  given_head_ = row.version;
-  Run(controller_.SetConfig(now_, view_.state(), row.version, head.snapshot));
+  passed_head_row_ = row.version;
+  HandleActions(
+      controller_.SetConfig(now_, view_.state(), row.version, head.snapshot));
 }
 
-void ControlCore::GiveLeases() {
+void ControlCore::PassLeasesToController() {
   std::vector<PoolLease> held;
   for (const PoolId& pool : leases_.HeldPools(now_)) {
     auto fences = leases_.Expectations(now_, pool);
     if (fences)
       held.push_back({pool, member_.lease_until(), std::move(*fences)});
   }
-  Run(controller_.SetLeases(now_, std::move(held)));
+  HandleActions(controller_.SetLeases(now_, std::move(held)));
 }
 
 bool ControlCore::AnyDraining() const {
@@ -281,30 +282,30 @@
   });
 }
 
-void ControlCore::ScanMembers() {
+void ControlCore::StartMemberScan() {
   if (scanning_ && now_ - scan_sent_ > Member::kCallTimeout)
     scanning_ = false;
   if (scanning_ || now_ < next_scan_)
     return;
   scanning_ = true;
   scan_sent_ = now_;
-  scan_after_.clear();
+  scan_resume_key_.clear();
   scan_bytes_ = 0;
-  scanned_ = {.read_started = now_};
-  Call(CallOwner::kMemberScan,
-       {++scan_tag_, ScanRows{kMemberPrefix, "", kScanLimit}});
+  scanned_members_ = {.read_started = now_};
+  CallStore(CallOwner::kMemberScan,
+            {++scan_tag_, ScanRows{kMemberPrefix, "", kScanRowLimit}});
 }
 
 void ControlCore::OnMemberRows(const StoreReply& reply) {
   const auto* rows = std::get_if<RowsReply>(&reply);
   if (!scanning_ || rows == nullptr) {
     scanning_ = false;
-    next_scan_ = now_ + kScanOtherwise;
+    next_scan_ = now_ + kIdleScanPeriod;
     return;
   }
   for (const Row& row : rows->rows) {
     scan_bytes_ += row.key.size() + row.value.size();
-    scan_after_ = row.key;
+    scan_resume_key_ = row.key;
     auto record = DecodeMember(row.value);
     if (!record)
       continue;
@@ -313,28 +314,29 @@
       version = row.version;
       changed = now_;
     }
-    scanned_.members.push_back(ViewOf(*record, changed));
+    scanned_members_.members.push_back(ViewOf(*record, changed));
   }
-  if (rows->rows.size() >= kScanLimit) {
-    Call(CallOwner::kMemberScan,
-         {++scan_tag_, ScanRows{kMemberPrefix, scan_after_, kScanLimit}});
+  if (rows->rows.size() >= kScanRowLimit) {
+    CallStore(CallOwner::kMemberScan,
+              {++scan_tag_,
+               ScanRows{kMemberPrefix, scan_resume_key_, kScanRowLimit}});
     return;
   }
   scanning_ = false;
   Duration budget = Microseconds(static_cast<int64_t>(scan_bytes_) * 1'000'000 /
                                  kScanBytesPerSecond);
-  next_scan_ =
-      now_ +
-      std::max(AnyDraining() ? kScanWhileDraining : kScanOtherwise, budget);
-  Run(controller_.SetMembers(now_, std::move(scanned_)));
-  scanned_ = {};
+  next_scan_ = now_ + std::max(AnyDraining() ? kScanPeriodWhileDraining
+                                             : kIdleScanPeriod,
+                               budget);
+  HandleActions(controller_.SetMembers(now_, std::move(scanned_members_)));
+  scanned_members_ = {};
 }
 
-void ControlCore::ReadHosts() {
+void ControlCore::RequestHostList() {
   if (now_ < next_host_list_)
     return;
   next_host_list_ = now_ + kHostListPeriod;
-  Call(CallOwner::kHostList, {0, ReadHostList{}});
+  CallStore(CallOwner::kHostList, {0, ReadHostList{}});
 }
 
 void ControlCore::OnHostList(const HostListReply& list) {
@@ -344,10 +346,10 @@
   next_host_list_ = std::max(
       next_host_list_,
       now_ + Microseconds(bytes * 1'000'000 / kHostListBytesPerSecond));
-  Run(controller_.SetHostList(now_, list.hosts));
+  HandleActions(controller_.SetHostList(now_, list.hosts));
 }
 
-void ControlCore::Record(TimelineEvent event) {
+void ControlCore::RecordEvent(TimelineEvent event) {
   event.stamp = clock_.Tick(wall_);
   if (event.config == 0)
     event.config = view_.version();
--- a/radishmoor/control/control_core.h
+++ b/radishmoor/control/control_core.h
@@ -93,24 +93,24 @@
     kHostList,
   };
 
-  void Enter(Time now, WallMillis wall);
-  ControlActions Exit();
-  void Call(CallOwner owner, StoreCall call);
-
-  void Run(std::vector<ConfigAction> actions);
-  void Run(std::vector<MemberAction> actions);
-  void Run(std::vector<PeerAction> actions);
-  void Run(std::vector<LeaseAction> actions);
-  void Run(std::vector<FleetAction> actions);
-
-  void GiveConfig();
-  void GiveLeases();
-  void ScanMembers();
+  void BeginInput(Time now, WallMillis wall);
+  ControlActions TakeActions();
+  void CallStore(CallOwner owner, StoreCall call);
+
+  void HandleActions(std::vector<ConfigAction> actions);
+  void HandleActions(std::vector<MemberAction> actions);
+  void HandleActions(std::vector<PeerAction> actions);
+  void HandleActions(std::vector<LeaseAction> actions);
+  void HandleActions(std::vector<FleetAction> actions);
+
+  void PassConfigToController();
+  void PassLeasesToController();
+  void StartMemberScan();
   void OnMemberRows(const StoreReply& reply);
-  void ReadHosts();
+  void RequestHostList();
   void OnHostList(const HostListReply& list);
   bool AnyDraining() const;
-  void Record(TimelineEvent event);
+  void RecordEvent(TimelineEvent event);
 
   ControlOptions options_;
   HybridClock clock_;
@@ -123,15 +123,15 @@
   Time now_ = kTimeZero;
   WallMillis wall_ = 0;
   ControlActions actions_;
-  RowVersion given_head_ = 0;
+  RowVersion passed_head_row_ = 0;
 
   // Scan of the member rows for the drain gate.
   Time next_scan_ = kTimeZero;
   Time scan_sent_ = kTimeZero;
   bool scanning_ = false;
   uint64_t scan_tag_ = 0;  // Of the call whose answer the scan waits for.
-  std::string scan_after_;
-  MemberList scanned_;
+  std::string scan_resume_key_;
+  MemberList scanned_members_;
   size_t scan_bytes_ = 0;
   // Version of each row and when it was first seen.
   std::map<MemberId, std::pair<RowVersion, Time>> row_changes_;
--- a/radishmoor/control/testing/control_core_test.cc
+++ b/radishmoor/control/testing/control_core_test.cc
@@ -14,9 +14,9 @@
 
 // One control process over a table that answers at once, except for scans of
 // the member rows by the drain gate, which wait while `hold_scans` is set.
-class Bed {
+class ControlCoreFixture {
  public:
-  Bed() {
+  ControlCoreFixture() {
     ConfigDelta delta;
     delta.version = 1;
     delta.operation = {1};
@@ -34,8 +34,8 @@
     table.Handle(CommitRows{BuildConfigTransaction(delta, 0, {})});
   }
 
-  void Tick() { Run(core.Tick(now, kWall)); }
-  void Run(ControlActions actions) {
+  void Tick() { RunActions(core.Tick(now, kWall)); }
+  void RunActions(ControlActions actions) {
     std::deque<ControlAction> queue(actions.begin(), actions.end());
     while (!queue.empty()) {
       ControlAction action = std::move(queue.front());
@@ -70,10 +70,10 @@
 // Guards against a drain gate that opens on rows read before the drain: a
 // process that registered in between may still send to the host.
 TEST_CASE("the answer to an earlier scan of the members is not used") {
-  Bed bed;
-  bed.Tick();
-  REQUIRE(bed.held.size() == 1);
-  StoreReply old_rows = bed.table.Handle(bed.held[0].request);
+  ControlCoreFixture fixture;
+  fixture.Tick();
+  REQUIRE(fixture.held.size() == 1);
+  StoreReply old_rows = fixture.table.Handle(fixture.held[0].request);
 
   MemberRecord entry;
   entry.id = MemberId("e");
@@ -81,20 +81,24 @@
   entry.zone = ZoneId("z");
   Transaction registration{.operation = {9}};
   registration.writes.push_back({"member/e", EncodeMember(entry)});
-  bed.table.Handle(CommitRows{registration});
+  fixture.table.Handle(CommitRows{registration});
 
   // A pause longer than the time-out of the scan.
-  bed.now += Seconds(5);
-  bed.Tick();
-  REQUIRE(bed.held.size() == 2);
-  bed.Run(bed.core.Handle(bed.now, kWall, {bed.held[0].tag, old_rows}));
-  CHECK(!bed.core.controller().Gate(bed.now, HostId("w")).open);
+  fixture.now += Seconds(5);
+  fixture.Tick();
+  REQUIRE(fixture.held.size() == 2);
+  fixture.RunActions(
+      fixture.core.Handle(fixture.now, kWall, {fixture.held[0].tag, old_rows}));
+  CHECK(
+      !fixture.core.controller().CheckDrainGate(fixture.now, HostId("w")).open);
 
-  StoreReply rows = bed.table.Handle(bed.held[1].request);
-  bed.Run(bed.core.Handle(bed.now, kWall, {bed.held[1].tag, rows}));
-  GateVerdict verdict = bed.core.controller().Gate(bed.now, HostId("w"));
-  CHECK(verdict.block == GateBlock::kLocalNotAcknowledged);
-  CHECK(verdict.member == MemberId("e"));
+  StoreReply rows = fixture.table.Handle(fixture.held[1].request);
+  fixture.RunActions(
+      fixture.core.Handle(fixture.now, kWall, {fixture.held[1].tag, rows}));
+  DrainGateResult result =
+      fixture.core.controller().CheckDrainGate(fixture.now, HostId("w"));
+  CHECK(result.block == GateBlock::kLocalNotAcknowledged);
+  CHECK(result.member == MemberId("e"));
 }
 
 }  // namespace
--- a/radishmoor/fleet/budget.cc
+++ b/radishmoor/fleet/budget.cc
@@ -15,9 +15,9 @@
   stalled_.clear();
   std::set<ZoneId> reachable;
   for (const MemberView& member : gate.members().members) {
-    if (member.role != MemberRole::kEntry || gate.Ended(member))
+    if (member.role != MemberRole::kEntry || gate.IsConfirmedEnded(member))
       continue;
-    (gate.Silent(now, member) ? stalled_ : reachable).insert(member.zone);
+    (gate.IsSilent(now, member) ? stalled_ : reachable).insert(member.zone);
   }
   for (const ZoneId& zone : stalled_) {
     if (!reachable.contains(zone))
@@ -25,13 +25,13 @@
   }
 }
 
-void HealthView::Forget(const FleetState& state) {
+void HealthView::DropRemovedHosts(const FleetState& state) {
   std::erase_if(observations_,
                 [&](const auto& item) { return !state.FindHost(item.first); });
 }
 
 HostHealth HealthView::HealthOf(Time now, const HostState& host) const {
-  if (Partitioned(host.zone))
+  if (IsPartitioned(host.zone))
     return HostHealth::kUnreachable;
   auto it = observations_.find(host.id);
   if (it == observations_.end() ||
@@ -46,10 +46,10 @@
                               Time since) const {
   auto it = observations_.find(host.id);
   return it != observations_.end() && it->second.observed_at > since &&
-         Healthy(now, host);
+         IsHealthy(now, host);
 }
 
-uint32_t HealthView::Running(Time now, const HostId& host) const {
+uint32_t HealthView::RunningRequests(Time now, const HostId& host) const {
   auto it = observations_.find(host);
   if (it == observations_.end() ||
       now - it->second.observed_at > options_.valid_for) {
@@ -58,7 +58,7 @@
   return it->second.running.value_or(0);
 }
 
-bool IsNewcomer(const HostState& host) {
+bool IsNewInPool(const HostState& host) {
   return host.phase == HostPhase::kDrained && host.drain_version == 0;
 }
 
@@ -71,16 +71,16 @@
     if (Unavailable(host))
       ++counts.unavailable;
     if (host.phase == HostPhase::kDraining ||
-        (host.phase == HostPhase::kDrained && !IsNewcomer(host))) {
+        (host.phase == HostPhase::kDrained && !IsNewInPool(host))) {
       ++counts.leaving;
     }
   }
 }
 
 bool BudgetTable::Unavailable(const HostState& host) const {
-  if (host.phase == HostPhase::kRetired || IsNewcomer(host))
+  if (host.phase == HostPhase::kRetired || IsNewInPool(host))
     return false;
-  return host.phase != HostPhase::kActive || !health_.Healthy(now_, host);
+  return host.phase != HostPhase::kActive || !health_.IsHealthy(now_, host);
 }
 
 const BudgetTable::Counts& BudgetTable::CountsOf(const PoolId& pool) const {
@@ -89,7 +89,7 @@
   return it == counts_.end() ? kNone : it->second;
 }
 
-bool BudgetTable::MayTake(const HostState& host) const {
+bool BudgetTable::MayMakeUnavailable(const HostState& host) const {
   const PoolState* pool = state_.FindPool(host.pool);
   if (!pool)
     return false;
@@ -100,7 +100,7 @@
   return after <= pool->max_unavailable;
 }
 
-bool BudgetTable::Exceeded(const PoolId& pool) const {
+bool BudgetTable::IsExceeded(const PoolId& pool) const {
   const PoolState* rules = state_.FindPool(pool);
   return rules && !rules->closed &&
          CountsOf(pool).unavailable > rules->max_unavailable;
--- a/radishmoor/fleet/budget.h
+++ b/radishmoor/fleet/budget.h
@@ -4,7 +4,8 @@
 //   HealthView health(options);
 //   health.Observe(observations);
 //   BudgetTable budgets(now, state, health);
-//   if (budgets.MayTake(host)) ...   // commit against this very version
+//   if (budgets.MayMakeUnavailable(host)) ...   // commit against this very
+//   version
 //
 // The check and the reservation are one transaction: the caller commits the
 // host's new phase with `config/head` expected at the version checked here.
@@ -36,24 +37,24 @@
   // Derives the state of the zones from the silence of their members.
   void ObserveZones(Time now, const DrainGate& gate);
   // Drops observations of hosts that left the fleet.
-  void Forget(const FleetState& state);
+  void DropRemovedHosts(const FleetState& state);
 
   HostHealth HealthOf(Time now, const HostState& host) const;
-  bool Healthy(Time now, const HostState& host) const {
+  bool IsHealthy(Time now, const HostState& host) const {
     return HealthOf(now, host) == HostHealth::kHealthy;
   }
   // Healthy by an observation made after `since`.
   bool HealthySince(Time now, const HostState& host, Time since) const;
   // Requests running by a valid observation, 0 when none is reported.
-  uint32_t Running(Time now, const HostId& host) const;
+  uint32_t RunningRequests(Time now, const HostId& host) const;
 
   // Every registered entry process of the zone is silent: the zone is
   // partitioned from the platform and its hosts count as unavailable.
-  bool Partitioned(const ZoneId& zone) const {
+  bool IsPartitioned(const ZoneId& zone) const {
     return partitioned_.contains(zone);
   }
   // At least one is silent, so that a drain there could not be acknowledged.
-  bool DrainWouldStall(const ZoneId& zone) const {
+  bool WouldStallDrain(const ZoneId& zone) const {
     return stalled_.contains(zone);
   }
 
@@ -66,7 +67,7 @@
 
 // A host that a move brought to its new pool and that never served there. It
 // takes nothing from the pool, so it does not count against its budget.
-bool IsNewcomer(const HostState& host);
+bool IsNewInPool(const HostState& host);
 
 // Counts of all pools at one version and time. Cost to build: O(hosts).
 class BudgetTable {
@@ -76,10 +77,10 @@
   // The host may start to drain: the pool stays within its budget. A host that
   // is unavailable already takes nothing more. A closed pool has no budget;
   // its wave limit bounds the hosts that leave at once.
-  bool MayTake(const HostState& host) const;
+  bool MayMakeUnavailable(const HostState& host) const;
 
   // External losses and reservations together exceed the budget.
-  bool Exceeded(const PoolId& pool) const;
+  bool IsExceeded(const PoolId& pool) const;
 
   uint32_t unavailable(const PoolId& pool) const;
 
--- a/radishmoor/fleet/change_writer.cc
+++ b/radishmoor/fleet/change_writer.cc
@@ -15,17 +15,17 @@
 }
 
 bool ChangeWriter::Ready(Time now) const {
-  return stage_ == Stage::kIdle && now >= not_before_;
+  return stage_ == Stage::kIdle && now >= next_attempt_at_;
 }
 
 Time ChangeWriter::next_wake() const {
   switch (stage_) {
     case Stage::kIdle:
     case Stage::kWaitingToRead:
-      return not_before_;
+      return next_attempt_at_;
     case Stage::kCommitting:
     case Stage::kReading:
-      return sent_ + options_.call_timeout;
+      return sent_at_ + options_.call_timeout;
   }
   return kTimeMax;
 }
@@ -55,12 +55,12 @@
   stage_ = Stage::kCommitting;
   auto gap = static_cast<int64_t>(1e6 * writer_count_ /
                                   options_.site_writes_per_second);
-  not_before_ = now + Microseconds(gap);
+  next_attempt_at_ = now + Microseconds(gap);
   Send(now, CommitRows{std::move(transaction)});
 }
 
 void ChangeWriter::Send(Time now, StoreRequest request) {
-  sent_ = now;
+  sent_at_ = now;
   calls_.push_back({++tag_, std::move(request)});
 }
 
@@ -69,16 +69,17 @@
 }
 
 void ChangeWriter::BackOff(Time now) {
-  ++failures_;
-  Duration limit =
-      options_.first_back_off * (int64_t{1} << std::min(failures_ - 1, 16U));
+  ++consecutive_failures_;
+  Duration limit = options_.first_back_off *
+                   (int64_t{1} << std::min(consecutive_failures_ - 1, 16U));
   limit = std::min(limit, options_.max_back_off);
   // Jitter over half of the delay keeps the processes of a site from returning
   // together after an outage.
-  not_before_ = std::max(not_before_, now + random_.Between(limit / 2, limit));
+  next_attempt_at_ =
+      std::max(next_attempt_at_, now + random_.Between(limit / 2, limit));
 }
 
-void ChangeWriter::LoseAnswer(Time now) {
+void ChangeWriter::OnAnswerLost(Time now) {
   ++unknown_;
   stage_ = Stage::kWaitingToRead;
   BackOff(now);
@@ -89,7 +90,7 @@
   if (outcome == WriteOutcome::kNotWritten)
     BackOff(now);
   else
-    failures_ = 0;
+    consecutive_failures_ = 0;
   return {outcome, std::move(delta_), head, {}};
 }
 
@@ -121,7 +122,7 @@
     ++unavailable_;
     return Finish(now, WriteOutcome::kNotWritten, {});
   }
-  LoseAnswer(now);
+  OnAnswerLost(now);
   return std::nullopt;
 }
 
@@ -152,9 +153,9 @@
 
 void ChangeWriter::Tick(Time now) {
   bool waiting = stage_ == Stage::kCommitting || stage_ == Stage::kReading;
-  if (waiting && now - sent_ >= options_.call_timeout)
-    LoseAnswer(now);
-  if (stage_ != Stage::kWaitingToRead || now < not_before_)
+  if (waiting && now - sent_at_ >= options_.call_timeout)
+    OnAnswerLost(now);
+  if (stage_ != Stage::kWaitingToRead || now < next_attempt_at_)
     return;
   stage_ = Stage::kReading;
   Send(now, ReadRows{{ConfigDeltaKey(delta_.version), kConfigHeadKey}});
--- a/radishmoor/fleet/change_writer.h
+++ b/radishmoor/fleet/change_writer.h
@@ -91,7 +91,7 @@
   std::optional<WriteResult> HandleCommit(Time now, const StoreReply& reply);
   std::optional<WriteResult> HandleRead(Time now, const StoreReply& reply);
   WriteResult Finish(Time now, WriteOutcome outcome, HeadRow head);
-  void LoseAnswer(Time now);
+  void OnAnswerLost(Time now);
   void BackOff(Time now);
   void Send(Time now, StoreRequest request);
 
@@ -102,9 +102,9 @@
   ConfigDelta delta_;
   HeadRow head_;
   uint64_t tag_ = 0;
-  Time sent_{};
-  Time not_before_{};
-  uint32_t failures_ = 0;
+  Time sent_at_{};
+  Time next_attempt_at_{};
+  uint32_t consecutive_failures_ = 0;
   std::vector<StoreCall> calls_;
   uint64_t unavailable_ = 0;
   uint64_t unknown_ = 0;
--- a/radishmoor/fleet/controller.cc
+++ b/radishmoor/fleet/controller.cc
@@ -42,7 +42,7 @@
       health_(options_.health),
       wave_(options_.wave),
       retirement_(options_.retirement),
-      lender_(options_.lending) {}
+      lending_planner_(options_.lending) {}
 
 std::vector<FleetAction> Controller::SetConfig(Time now,
                                                const FleetState& state,
@@ -55,7 +55,7 @@
   } else if (state.version == state_.version && head_.row == 0) {
     head_ = {head_row, snapshot};
   }
-  return Step(now);
+  return Decide(now);
 }
 
 std::vector<FleetAction> Controller::SetMembers(Time now, MemberList members) {
@@ -66,21 +66,21 @@
   }
   writer_.SetWriterCount(controls);
   gate_.ObserveMembers(std::move(members));
-  return Defer(now);
+  return DecideAtNextTick(now);
 }
 
 std::vector<FleetAction> Controller::SetHostList(
     Time now,
     std::span<const HostListEntry> hosts) {
   gate_.ObserveHostList(hosts);
-  return Defer(now);
+  return DecideAtNextTick(now);
 }
 
 std::vector<FleetAction> Controller::SetHealth(
     Time now,
     std::span<const HostObservation> observations) {
   health_.Observe(observations);
-  return Defer(now);
+  return DecideAtNextTick(now);
 }
 
 std::vector<FleetAction> Controller::SetLeases(Time now,
@@ -89,33 +89,33 @@
   for (PoolLease& lease : leases) {
     auto old = leases_.find(lease.pool);
     if (old == leases_.end() || !SameFences(old->second.fences, lease.fences))
-      fenced_off_.erase(lease.pool);
+      fenced_leases_.erase(lease.pool);
     PoolId pool = lease.pool;
     held.emplace(std::move(pool), std::move(lease));
   }
   leases_ = std::move(held);
-  return Defer(now);
+  return DecideAtNextTick(now);
 }
 
 std::vector<FleetAction> Controller::SetLoads(Time now,
                                               std::span<const PoolLoad> loads) {
-  lender_.ObserveLoads(now, loads);
+  lending_planner_.ObserveLoads(now, loads);
   retirement_.ObserveLoads(now, loads);
-  return Defer(now);
+  return DecideAtNextTick(now);
 }
 
 std::vector<FleetAction> Controller::Handle(Time now,
                                             const StoreAnswer& answer) {
   if (std::optional<WriteResult> result = writer_.Handle(now, answer))
     ApplyResult(now, *result);
-  return Step(now);
+  return Decide(now);
 }
 
 std::vector<FleetAction> Controller::Handle(Time now,
                                             const PlatformResult& result) {
   const HostState* host = state_.FindHost(result.host);
   if (!host)
-    return Step(now);
+    return Decide(now);
   PlatformState& platform = platform_[result.host];
   switch (result.kind) {
     case PlatformResultKind::kTasksCheckpointed:
@@ -127,36 +127,36 @@
       if (platform.rebooted_key == result.key)
         break;
       counters_.requests_cut += result.requests_cut;
-      wave_.CountCut(result.requests_cut);
+      wave_.CountInterruptedRequests(result.requests_cut);
       platform.rebooted_key = result.key;
       platform.rebooted_at = now;
       break;
     case PlatformResultKind::kRebootFailed:
       if (host->phase == HostPhase::kRebooting &&
           host->drain_version == result.key) {
-        wave_.NoteRebootFailed(result.host);
+        wave_.OnRebootFailed(result.host);
       }
       break;
     case PlatformResultKind::kAdmitted:
       platform.admitted_key = result.key;
       break;
   }
-  return Step(now);
+  return Decide(now);
 }
 
-std::vector<FleetAction> Controller::Defer(Time now) {
+std::vector<FleetAction> Controller::DecideAtNextTick(Time now) {
   next_wake_ = now;
   return {};
 }
 
 std::vector<FleetAction> Controller::Tick(Time now) {
-  return Step(now);
+  return Decide(now);
 }
 
 void Controller::ObserveState(Time now) {
   gate_.ObserveState(now, state_);
   retirement_.ObserveState(now, state_);
-  health_.Forget(state_);
+  health_.DropRemovedHosts(state_);
   std::erase_if(platform_,
                 [&](const auto& item) { return !state_.FindHost(item.first); });
   std::vector<HostId> soon = SoonDueHosts(state_);
@@ -180,7 +180,7 @@
       for (const std::string& key : result.conflicts) {
         // A stale head waits for the view; a stale fence for the lease.
         if (key != kConfigHeadKey && !key.starts_with("config/delta/"))
-          FenceOff();
+          MarkLeaseFenced();
         else if (state_.version < result.delta.version)
           head_.row = 0;
       }
@@ -190,12 +190,12 @@
   }
 }
 
-void Controller::FenceOff() {
+void Controller::MarkLeaseFenced() {
   auto lease = leases_.find(change_lease_.pool);
   // The lease may have been renewed with other rows since the change was sent.
   if (lease != leases_.end() &&
       SameFences(lease->second.fences, change_lease_.fences)) {
-    fenced_off_.insert(change_lease_.pool);
+    fenced_leases_.insert(change_lease_.pool);
   }
 }
 
@@ -215,7 +215,7 @@
     }
     if (host.phase == HostPhase::kRetired)
       ++counters_.retired;
-    if (IsNewcomer(host)) {
+    if (IsNewInPool(host)) {
       event.kind = EventKind::kHostMoved;
       ++counters_.moves;
       wave_.CountMove();
@@ -230,23 +230,23 @@
   }
 }
 
-const PoolLease* Controller::Lease(Time now, const PoolId& pool) const {
+const PoolLease* Controller::ValidLease(Time now, const PoolId& pool) const {
   auto it = leases_.find(pool);
   bool held = it != leases_.end() && now < it->second.valid_until &&
-              !fenced_off_.contains(pool);
+              !fenced_leases_.contains(pool);
   return held ? &it->second : nullptr;
 }
 
-HostPurpose Controller::Purpose(const HostState& host) const {
-  return PurposeOf(state_, host, plan_, wave_.paused());
+DrainReasons Controller::CurrentDrainReasons(const HostState& host) const {
+  return DrainReasonsOf(state_, host, lending_plan_, wave_.paused());
 }
 
-std::vector<FleetAction> Controller::Step(Time now) {
+std::vector<FleetAction> Controller::Decide(Time now) {
   health_.ObserveZones(now, gate_);
   // Plans once a second at most: loads arrive at that rate.
-  if (now - plan_at_ >= Seconds(1)) {
-    plan_ = lender_.Plan(now, state_);
-    plan_at_ = now;
+  if (now - lending_planned_at_ >= Seconds(1)) {
+    lending_plan_ = lending_planner_.Plan(now, state_);
+    lending_planned_at_ = now;
   }
   BudgetTable budgets(now, state_, health_);
   for (FleetAction& action : wave_.Observe(now, state_, health_, budgets))
@@ -255,7 +255,7 @@
   writer_.Tick(now);
   if (writer_.Ready(now) && head_.row != 0) {
     if (std::optional<Change> change = NextChange(now, budgets)) {
-      change_lease_ = *Lease(now, change->lease);
+      change_lease_ = *ValidLease(now, change->lease);
       writer_.Start(now, std::move(change->delta), head_, change_lease_.fences,
                     std::move(change->removed_rows));
     }
@@ -273,19 +273,19 @@
                                 const BudgetTable& budgets) const {
   if (host.phase != HostPhase::kDrained)
     return false;
-  HostPurpose purpose = Purpose(host);
-  if (purpose.retire || purpose.hold)
+  DrainReasons reasons = CurrentDrainReasons(host);
+  if (reasons.retire || reasons.hold)
     return false;
-  if (IsNewcomer(host))
-    return !purpose.move_to;
-  return !purpose.any() || budgets.Exceeded(host.pool);
+  if (IsNewInPool(host))
+    return !reasons.move_to;
+  return !reasons.any() || budgets.IsExceeded(host.pool);
 }
 
 void Controller::RequestPlatform(Time now, const BudgetTable& budgets) {
   for (const auto& [id, host] : state_.hosts) {
     if (host.phase == HostPhase::kActive || host.phase == HostPhase::kRetired)
       continue;
-    if (!Lease(now, host.pool))
+    if (!ValidLease(now, host.pool))
       continue;
     PlatformState& platform = platform_[id];
     bool retry = now >= platform.retry_at;
@@ -312,8 +312,8 @@
   }
 }
 
-Controller::Change Controller::HostChange(HostState next,
-                                          const PoolId& lease) const {
+Controller::Change Controller::MakeHostChange(HostState next,
+                                              const PoolId& lease) const {
   Change change;
   change.delta.version = next_version();
   change.delta.author = self_.str();
@@ -326,43 +326,43 @@
     Time now,
     const BudgetTable& budgets) {
   usage_ = wave_.Usage(now, state_, health_);
-  if (std::optional<Change> change = GiveBack(now, budgets))
+  if (std::optional<Change> change = CancelDrainOverBudget(now, budgets))
     return change;
-  if (std::optional<Change> change = Progress(now, budgets))
+  if (std::optional<Change> change = AdvanceHosts(now, budgets))
     return change;
-  if (std::optional<Change> change = FinishRetirement(now))
+  if (std::optional<Change> change = RemoveEmptyPool(now))
     return change;
-  return StartOne(now, budgets);
+  return StartNextDrain(now, budgets);
 }
 
-std::optional<Controller::Change> Controller::GiveBack(
+std::optional<Controller::Change> Controller::CancelDrainOverBudget(
     Time now,
     const BudgetTable& budgets) {
   for (const auto& [id, host] : state_.hosts) {
     // Returning a host that is itself lost restores nothing.
-    if (host.phase != HostPhase::kDraining || !budgets.Exceeded(host.pool) ||
-        !health_.Healthy(now, host) || !Lease(now, host.pool)) {
+    if (host.phase != HostPhase::kDraining || !budgets.IsExceeded(host.pool) ||
+        !health_.IsHealthy(now, host) || !ValidLease(now, host.pool)) {
       continue;
     }
-    hold_until_[host.pool] = now + options_.give_back_hold;
-    return HostChange(Activate(host), host.pool);
+    no_new_drains_until_[host.pool] = now + options_.cancelled_drain_hold;
+    return MakeHostChange(Activate(host), host.pool);
   }
   return std::nullopt;
 }
 
-std::optional<Controller::Change> Controller::Progress(
+std::optional<Controller::Change> Controller::AdvanceHosts(
     Time now,
     const BudgetTable& budgets) {
   for (const auto& [id, host] : state_.hosts) {
-    if (!Lease(now, host.pool))
+    if (!ValidLease(now, host.pool))
       continue;
-    if (std::optional<HostState> next = ProgressHost(now, host, budgets))
-      return HostChange(std::move(*next), host.pool);
+    if (std::optional<HostState> next = AdvanceHost(now, host, budgets))
+      return MakeHostChange(std::move(*next), host.pool);
   }
   return std::nullopt;
 }
 
-std::optional<HostState> Controller::ProgressHost(
+std::optional<HostState> Controller::AdvanceHost(
     Time now,
     const HostState& host,
     const BudgetTable& budgets) const {
@@ -372,11 +372,11 @@
     case HostPhase::kRetired:
       return std::nullopt;
     case HostPhase::kDraining: {
-      if (!Purpose(host).any())
+      if (!CurrentDrainReasons(host).any())
         return Activate(host);
       bool idle = platform != platform_.end() &&
                   platform->second.checkpointed_key == host.drain_version &&
-                  health_.Running(now, host.id) == 0 &&
+                  health_.RunningRequests(now, host.id) == 0 &&
                   gate_.Check(now, host).open;
       return idle ? std::optional(FinishDrain(host)) : std::nullopt;
     }
@@ -387,44 +387,44 @@
       return back ? std::optional(FinishReboot(host)) : std::nullopt;
     }
     case HostPhase::kDrained:
-      return LeaveDrained(now, host, budgets);
+      return AdvanceDrainedHost(now, host, budgets);
   }
   return std::nullopt;
 }
 
-std::optional<HostState> Controller::LeaveDrained(
+std::optional<HostState> Controller::AdvanceDrainedHost(
     Time now,
     const HostState& host,
     const BudgetTable& budgets) const {
-  HostPurpose purpose = Purpose(host);
-  bool newcomer = IsNewcomer(host);
+  DrainReasons reasons = CurrentDrainReasons(host);
+  bool new_in_pool = IsNewInPool(host);
   // Maintenance and moves wait for the budget; the host returns instead.
-  bool withheld = !newcomer && budgets.Exceeded(host.pool);
-  if (purpose.retire)
+  bool withheld = !new_in_pool && budgets.IsExceeded(host.pool);
+  if (reasons.retire)
     return Retire(host);
-  if (purpose.maintain && !newcomer && !withheld) {
+  if (reasons.maintain && !new_in_pool && !withheld) {
     if (wave_.MayReboot(usage_, state_, host) &&
-        health_.Running(now, host.id) == 0) {
+        health_.RunningRequests(now, host.id) == 0) {
       return StartReboot(host, next_version(), state_.rules.maintenance);
     }
     // A host that also moves completes the round in its new pool.
-    if (!purpose.move_to)
+    if (!reasons.move_to)
       return std::nullopt;
   }
-  if (purpose.move_to && !withheld)
-    return FlipPool(host, *purpose.move_to);
+  if (reasons.move_to && !withheld)
+    return MoveToPool(host, *reasons.move_to);
   auto platform = platform_.find(host.id);
   bool admitted = platform != platform_.end() &&
                   platform->second.admitted_key == host.epoch &&
-                  health_.Healthy(now, host);
+                  health_.IsHealthy(now, host);
   return admitted && WantsAdmission(host, budgets)
              ? std::optional(Activate(host))
              : std::nullopt;
 }
 
-std::optional<Controller::Change> Controller::FinishRetirement(Time now) {
+std::optional<Controller::Change> Controller::RemoveEmptyPool(Time now) {
   for (const auto& [id, pool] : state_.pools) {
-    if (!pool.closed || !Lease(now, id))
+    if (!pool.closed || !ValidLease(now, id))
       continue;
     std::optional<ConfigDelta> delta = Retirement::RemovePool(state_, id);
     if (!delta)
@@ -436,50 +436,52 @@
   return std::nullopt;
 }
 
-bool Controller::MayStart(Time now,
-                          const HostState& host,
-                          const BudgetTable& budgets) {
-  if (host.phase != HostPhase::kActive || !Lease(now, host.pool) ||
-      health_.DrainWouldStall(host.zone)) {
+bool Controller::MayStartDrain(Time now,
+                               const HostState& host,
+                               const BudgetTable& budgets) {
+  if (host.phase != HostPhase::kActive || !ValidLease(now, host.pool) ||
+      health_.WouldStallDrain(host.zone)) {
     return false;
   }
-  HostPurpose purpose = Purpose(host);
-  bool other = purpose.retire || purpose.hold || purpose.move_to;
-  if (!other && (!purpose.maintain || !wave_.MayStart(usage_, state_, host))) {
+  DrainReasons reasons = CurrentDrainReasons(host);
+  bool other = reasons.retire || reasons.hold || reasons.move_to;
+  if (!other &&
+      (!reasons.maintain || !wave_.MayStartDrain(usage_, state_, host))) {
     return false;
   }
-  auto hold = hold_until_.find(host.pool);
-  if (hold != hold_until_.end() && now < hold->second)
+  auto hold = no_new_drains_until_.find(host.pool);
+  if (hold != no_new_drains_until_.end() && now < hold->second)
     return false;
   const PoolState* pool = state_.FindPool(host.pool);
-  if (pool && pool->closed && !retirement_.MayRelease(now, state_, host))
+  if (pool && pool->closed &&
+      !retirement_.MayDrainFromClosedPool(now, state_, host))
     return false;
-  if (budgets.MayTake(host))
+  if (budgets.MayMakeUnavailable(host))
     return true;
   ++counters_.budget_refusals;
   return false;
 }
 
-std::optional<Controller::Change> Controller::StartOne(
+std::optional<Controller::Change> Controller::StartNextDrain(
     Time now,
     const BudgetTable& budgets) {
   // Operators' intents and moves come before the round.
   for (const auto& [id, host] : state_.hosts) {
-    if (!IsDue(state_, host) && MayStart(now, host, budgets))
-      return HostChange(StartDrain(host, next_version()), host.pool);
+    if (!IsDue(state_, host) && MayStartDrain(now, host, budgets))
+      return MakeHostChange(StartDrain(host, next_version()), host.pool);
   }
   for (const HostId& id : MaintenanceOrder(state_)) {
     const HostState& host = *state_.FindHost(id);
-    if (MayStart(now, host, budgets))
-      return HostChange(StartDrain(host, next_version()), host.pool);
+    if (MayStartDrain(now, host, budgets))
+      return MakeHostChange(StartDrain(host, next_version()), host.pool);
   }
   return std::nullopt;
 }
 
-GateVerdict Controller::Gate(Time now, const HostId& host) const {
+DrainGateResult Controller::CheckDrainGate(Time now, const HostId& host) const {
   const HostState* state = state_.FindHost(host);
   return state ? gate_.Check(now, *state)
-               : GateVerdict{false, GateBlock::kNotDraining, {}};
+               : DrainGateResult{false, GateBlock::kNotDraining, {}};
 }
 
 FleetCounters Controller::fleet_counters() const {
--- a/radishmoor/fleet/controller.h
+++ b/radishmoor/fleet/controller.h
@@ -44,7 +44,7 @@
   LendingPolicy lending = StaticLending{};
   // After giving a reservation back, nothing new starts in the pool this long,
   // so that health that comes and goes does not drain hosts in turn.
-  Duration give_back_hold = Seconds(30);
+  Duration cancelled_drain_hold = Seconds(30);
   // An action without result is repeated after this time.
   Duration platform_retry = Seconds(10);
   // Prefix of the lease rows that a removed pool takes along.
@@ -81,9 +81,9 @@
   // since health and silence age.
   Time next_wake() const { return next_wake_; }
 
-  bool SoonDue(const HostId& host) const { return soon_due_.contains(host); }
+  bool IsSoonDue(const HostId& host) const { return soon_due_.contains(host); }
   // Why a draining host waits, for `status`.
-  GateVerdict Gate(Time now, const HostId& host) const;
+  DrainGateResult CheckDrainGate(Time now, const HostId& host) const;
   bool wave_paused() const { return wave_.paused(); }
   // As Wave::FirstCompleted().
   std::vector<HostId> FirstCompleted(size_t limit) const {
@@ -111,17 +111,17 @@
     Time retry_at{};
   };
 
-  std::vector<FleetAction> Step(Time now);
+  std::vector<FleetAction> Decide(Time now);
   // Leaves the decision to the next Tick, due at once, so that inputs that
   // arrive together cost one decision.
-  std::vector<FleetAction> Defer(Time now);
+  std::vector<FleetAction> DecideAtNextTick(Time now);
   void ObserveState(Time now);
   void ApplyResult(Time now, const WriteResult& result);
-  void FenceOff();
+  void MarkLeaseFenced();
   void ReportChange(const ConfigDelta& delta);
 
   // The lease of the pool when it holds now, else null.
-  const PoolLease* Lease(Time now, const PoolId& pool) const;
+  const PoolLease* ValidLease(Time now, const PoolId& pool) const;
 
   // Platform actions that the committed phases call for.
   void RequestPlatform(Time now, const BudgetTable& budgets);
@@ -130,19 +130,22 @@
   // The next change to commit, by urgency: returning reservations, progress of
   // hosts that left service, then new starts.
   std::optional<Change> NextChange(Time now, const BudgetTable& budgets);
-  std::optional<Change> GiveBack(Time now, const BudgetTable& budgets);
-  std::optional<Change> Progress(Time now, const BudgetTable& budgets);
-  std::optional<HostState> ProgressHost(Time now,
-                                        const HostState& host,
-                                        const BudgetTable& budgets) const;
-  std::optional<HostState> LeaveDrained(Time now,
-                                        const HostState& host,
-                                        const BudgetTable& budgets) const;
-  std::optional<Change> FinishRetirement(Time now);
-  std::optional<Change> StartOne(Time now, const BudgetTable& budgets);
-  bool MayStart(Time now, const HostState& host, const BudgetTable& budgets);
-  HostPurpose Purpose(const HostState& host) const;
-  Change HostChange(HostState next, const PoolId& lease) const;
+  std::optional<Change> CancelDrainOverBudget(Time now,
+                                              const BudgetTable& budgets);
+  std::optional<Change> AdvanceHosts(Time now, const BudgetTable& budgets);
+  std::optional<HostState> AdvanceHost(Time now,
+                                       const HostState& host,
+                                       const BudgetTable& budgets) const;
+  std::optional<HostState> AdvanceDrainedHost(Time now,
+                                              const HostState& host,
+                                              const BudgetTable& budgets) const;
+  std::optional<Change> RemoveEmptyPool(Time now);
+  std::optional<Change> StartNextDrain(Time now, const BudgetTable& budgets);
+  bool MayStartDrain(Time now,
+                     const HostState& host,
+                     const BudgetTable& budgets);
+  DrainReasons CurrentDrainReasons(const HostState& host) const;
+  Change MakeHostChange(HostState next, const PoolId& lease) const;
   ConfigVersion next_version() const { return state_.version + 1; }
 
   ControllerOptions options_;
@@ -153,17 +156,17 @@
   Wave wave_;
   WaveUsage usage_;  // At the version that NextChange decides on.
   Retirement retirement_;
-  Lender lender_;
-  LendingPlan plan_;
-  Time plan_at_{};
+  LendingPlanner lending_planner_;
+  LendingPlan lending_plan_;
+  Time lending_planned_at_{};
 
   FleetState state_;
   HeadRow head_;
   std::map<PoolId, PoolLease> leases_;
   // Leases whose fences failed; unused until they come with other versions.
-  std::set<PoolId> fenced_off_;
+  std::set<PoolId> fenced_leases_;
   PoolLease change_lease_;  // That of the change in flight.
-  std::map<PoolId, Time> hold_until_;
+  std::map<PoolId, Time> no_new_drains_until_;
   std::map<HostId, PlatformState> platform_;
   std::set<HostId> soon_due_;
   std::vector<FleetAction> actions_;
--- a/radishmoor/fleet/drain_gate.cc
+++ b/radishmoor/fleet/drain_gate.cc
@@ -5,7 +5,7 @@
 namespace radishmoor {
 namespace {
 
-bool Busy(const MemberView& member, const HostId& host) {
+bool ReportsBusy(const MemberView& member, const HostId& host) {
   return std::find(member.busy.begin(), member.busy.end(), host) !=
          member.busy.end();
 }
@@ -43,41 +43,42 @@
 void DrainGate::ObserveHostList(std::span<const HostListEntry> hosts) {
   for (const HostListEntry& entry : hosts) {
     if (entry.state == HostListState::kTerminated)
-      terminated_.emplace(entry.name, entry.instance);
+      terminated_instances_.emplace(entry.name, entry.instance);
   }
 }
 
-bool DrainGate::Ended(const MemberView& member) const {
+bool DrainGate::IsConfirmedEnded(const MemberView& member) const {
   // A later instance under the same name proves nothing about an earlier one:
   // the platform may replace a host that it cannot reach.
   return !member.host.empty() &&
-         terminated_.contains({member.host, member.host_instance});
+         terminated_instances_.contains({member.host, member.host_instance});
 }
 
-bool DrainGate::Silent(Time now, const MemberView& member) const {
+bool DrainGate::IsSilent(Time now, const MemberView& member) const {
   return now - member.last_change > options_.silent_after;
 }
 
-GateBlock DrainGate::CheckLocal(const MemberView& member,
-                                const HostState& host) const {
+GateBlock DrainGate::CheckMemberOfZone(const MemberView& member,
+                                       const HostState& host) const {
   if (member.version_in_force < host.drain_version)
     return GateBlock::kLocalNotAcknowledged;
-  return Busy(member, host.id) ? GateBlock::kLocalBusy : GateBlock::kNone;
+  return ReportsBusy(member, host.id) ? GateBlock::kLocalBusy
+                                      : GateBlock::kNone;
 }
 
-GateBlock DrainGate::CheckRemote(Time now,
-                                 const MemberView& member,
-                                 const HostState& host,
-                                 Time known_since) const {
+GateBlock DrainGate::CheckMemberOfOtherZone(Time now,
+                                            const MemberView& member,
+                                            const HostState& host,
+                                            Time known_since) const {
   bool acknowledged = member.version_in_force >= host.drain_version;
-  if (acknowledged && !Busy(member, host.id))
+  if (acknowledged && !ReportsBusy(member, host.id))
     return GateBlock::kNone;
   Time sends_end = known_since + options_.remote_view_age + options_.margin;
   if (!acknowledged && now < sends_end)
     return GateBlock::kRemoteMaySend;
   // A member that still renews its row and reports the host as busy is
   // believed over the deadline bound.
-  if (acknowledged && !Silent(now, member))
+  if (acknowledged && !IsSilent(now, member))
     return GateBlock::kRemoteMayBeBusy;
   bool bounded = options_.max_request_time > Duration::zero();
   if (!bounded || now < sends_end + options_.max_request_time)
@@ -85,7 +86,7 @@
   return GateBlock::kNone;
 }
 
-GateVerdict DrainGate::Check(Time now, const HostState& host) const {
+DrainGateResult DrainGate::Check(Time now, const HostState& host) const {
   auto drain = drains_.find(host.id);
   if (host.phase != HostPhase::kDraining || drain == drains_.end() ||
       drain->second.version != host.drain_version) {
@@ -95,11 +96,12 @@
   if (!members_read_ || members_.read_started < known_since)
     return {false, GateBlock::kMembersNotRead, {}};
   for (const MemberView& member : members_.members) {
-    if (member.role != MemberRole::kEntry || Ended(member))
+    if (member.role != MemberRole::kEntry || IsConfirmedEnded(member))
       continue;
-    GateBlock block = member.zone == host.zone
-                          ? CheckLocal(member, host)
-                          : CheckRemote(now, member, host, known_since);
+    GateBlock block =
+        member.zone == host.zone
+            ? CheckMemberOfZone(member, host)
+            : CheckMemberOfOtherZone(now, member, host, known_since);
     if (block != GateBlock::kNone)
       return {false, block, member.id};
   }
--- a/radishmoor/fleet/drain_gate.h
+++ b/radishmoor/fleet/drain_gate.h
@@ -59,7 +59,7 @@
   kRemoteMayBeBusy,
 };
 
-struct GateVerdict {
+struct DrainGateResult {
   bool open = false;
   GateBlock block = GateBlock::kNone;
   MemberId member;  // The first one that blocks.
@@ -76,19 +76,20 @@
   void ObserveHostList(std::span<const HostListEntry> hosts);
 
   // Cost: O(members).
-  GateVerdict Check(Time now, const HostState& host) const;
+  DrainGateResult Check(Time now, const HostState& host) const;
 
   // The platform confirmed the end of the instance that the member runs on.
-  bool Ended(const MemberView& member) const;
-  bool Silent(Time now, const MemberView& member) const;
+  bool IsConfirmedEnded(const MemberView& member) const;
+  bool IsSilent(Time now, const MemberView& member) const;
   const MemberList& members() const { return members_; }
 
  private:
-  GateBlock CheckLocal(const MemberView& member, const HostState& host) const;
-  GateBlock CheckRemote(Time now,
-                        const MemberView& member,
-                        const HostState& host,
-                        Time known_since) const;
+  GateBlock CheckMemberOfZone(const MemberView& member,
+                              const HostState& host) const;
+  GateBlock CheckMemberOfOtherZone(Time now,
+                                   const MemberView& member,
+                                   const HostState& host,
+                                   Time known_since) const;
 
   struct Drain {
     ConfigVersion version = 0;
@@ -99,7 +100,7 @@
   MemberList members_;
   bool members_read_ = false;
   std::map<HostId, Drain> drains_;
-  std::set<std::pair<std::string, uint64_t>> terminated_;
+  std::set<std::pair<std::string, uint64_t>> terminated_instances_;
 };
 
 }  // namespace radishmoor
--- a/radishmoor/fleet/lending.cc
+++ b/radishmoor/fleet/lending.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // A report older than this says nothing; the loans of its pool stay.
-constexpr Duration kLoadValidFor = Seconds(10);
+constexpr Duration kLoadReportValidFor = Seconds(10);
 
 struct Thresholds {
   double high = 0;
@@ -24,91 +24,95 @@
 }
 
 size_t BinAt(const PredictiveLending& policy, Time at) {
-  Duration into = at.time_since_epoch() % policy.period;
-  return static_cast<size_t>(into.count() * policy.bins /
+  Duration offset = at.time_since_epoch() % policy.period;
+  return static_cast<size_t>(offset.count() * policy.bins /
                              policy.period.count());
 }
 
-uint32_t HostsFor(double load, double level) {
+uint32_t HostsForLoad(double load, double level) {
   return static_cast<uint32_t>(std::ceil(load / level));
 }
 
 // Starts or clears the time since which a condition holds.
-void Follow(Time now, bool holds, Time* since) {
+void UpdateConditionStart(Time now, bool holds, Time* since) {
   if (!holds)
     *since = kTimeMax;
   else
     *since = std::min(*since, now);
 }
 
-bool HeldFor(Time now, Time since, Duration time) {
+bool HasHeldFor(Time now, Time since, Duration time) {
   return since != kTimeMax && now - since >= time;
 }
 
 }  // namespace
 
-void Lender::ObserveLoads(Time now, std::span<const PoolLoad> loads) {
+void LendingPlanner::ObserveLoads(Time now, std::span<const PoolLoad> loads) {
   for (const PoolLoad& load : loads) {
-    PoolMemory& memory = pools_[load.pool];
-    memory.demand = load.demand;
-    memory.reported = now;
-    Learn(now, &memory);
+    LoadHistory& history = pools_[load.pool];
+    history.demand = load.demand;
+    history.reported = now;
+    RecordLoad(now, &history);
   }
 }
 
-void Lender::Learn(Time now, PoolMemory* memory) const {
+void LendingPlanner::RecordLoad(Time now, LoadHistory* history) const {
   const auto* policy = std::get_if<PredictiveLending>(&policy_);
   if (!policy)
     return;
-  if (memory->bins.empty())
-    memory->bins.resize(policy->bins);
+  if (history->bins.empty())
+    history->bins.resize(policy->bins);
   size_t bin = BinAt(*policy, now);
-  if (bin != memory->current_bin) {
-    Bin& done = memory->bins[memory->current_bin];
-    done.load = done.known ? (1 - policy->weight) * done.load +
-                                 policy->weight * memory->current_max
-                           : memory->current_max;
-    done.known = true;
-    memory->current_bin = bin;
-    memory->current_max = 0;
+  if (bin != history->current_bin) {
+    Bin& finished = history->bins[history->current_bin];
+    finished.load =
+        finished.known
+            ? (1 - policy->newest_period_weight) * finished.load +
+                  policy->newest_period_weight * history->current_bin_max
+            : history->current_bin_max;
+    finished.known = true;
+    history->current_bin = bin;
+    history->current_bin_max = 0;
   }
-  memory->current_max = std::max(memory->current_max, memory->demand);
+  history->current_bin_max =
+      std::max(history->current_bin_max, history->demand);
 }
 
-double Lender::Expected(Time now, const PoolMemory& memory) const {
-  double expected = memory.demand;
+double LendingPlanner::ExpectedLoad(Time now,
+                                    const LoadHistory& history) const {
+  double expected = history.demand;
   const auto* policy = std::get_if<PredictiveLending>(&policy_);
-  if (!policy || memory.bins.empty())
+  if (!policy || history.bins.empty())
     return expected;
   Duration width = policy->period / policy->bins;
-  for (Time at = now; at <= now + policy->lead; at += width) {
-    const Bin& bin = memory.bins[BinAt(*policy, at)];
+  for (Time at = now; at <= now + policy->lead_time; at += width) {
+    const Bin& bin = history.bins[BinAt(*policy, at)];
     if (bin.known)
       expected = std::max(expected, bin.load);
   }
   return expected;
 }
 
-uint32_t Lender::WantedLoans(Time now,
-                             PoolMemory* memory,
-                             uint32_t own,
-                             uint32_t loans) const {
+uint32_t LendingPlanner::WantedLoans(Time now,
+                                     LoadHistory* history,
+                                     uint32_t own,
+                                     uint32_t loans) const {
   Thresholds limits = ThresholdsOf(policy_);
-  double load = Expected(now, *memory);
-  uint32_t needed = HostsFor(load, limits.high);
-  uint32_t for_high = needed > own ? needed - own : 0;
-  uint32_t relaxed = HostsFor(load, limits.low);
-  uint32_t for_low = relaxed > own ? relaxed - own : 0;
-  Follow(now, for_high > loans, &memory->high_since);
-  Follow(now, for_low < loans, &memory->low_since);
-  if (HeldFor(now, memory->high_since, limits.lend_after))
-    return for_high;
-  if (HeldFor(now, memory->low_since, limits.return_after))
-    return for_low;
+  double load = ExpectedLoad(now, *history);
+  uint32_t needed_at_high = HostsForLoad(load, limits.high);
+  uint32_t loans_at_high = needed_at_high > own ? needed_at_high - own : 0;
+  uint32_t needed_at_low = HostsForLoad(load, limits.low);
+  uint32_t loans_at_low = needed_at_low > own ? needed_at_low - own : 0;
+  UpdateConditionStart(now, loans_at_high > loans, &history->high_since);
+  UpdateConditionStart(now, loans_at_low < loans, &history->low_since);
+  if (HasHeldFor(now, history->high_since, limits.lend_after))
+    return loans_at_high;
+  if (HasHeldFor(now, history->low_since, limits.return_after))
+    return loans_at_low;
   return loans;
 }
 
-LendingPlan Lender::Plan(Time now, const FleetState& state) {
+LendingPlan LendingPlanner::Plan(Time now, const FleetState& state) {
   LendingPlan plan;
   std::vector<const HostState*> at_home;
   std::map<PoolId, std::vector<const HostState*>> on_loan;
@@ -140,11 +144,11 @@
     auto count = static_cast<uint32_t>(loans.size());
     uint32_t wanted = 0;
     if (lends && !pool.closed) {
-      auto memory = pools_.find(id);
-      bool fresh = memory != pools_.end() &&
-                   now - memory->second.reported <= kLoadValidFor;
+      auto history = pools_.find(id);
+      bool fresh = history != pools_.end() &&
+                   now - history->second.reported <= kLoadReportValidFor;
       wanted =
-          fresh ? WantedLoans(now, &memory->second, own[id], count) : count;
+          fresh ? WantedLoans(now, &history->second, own[id], count) : count;
     }
     for (size_t i = 0; i < loans.size(); ++i)
       plan[loans[i]->id] = i < wanted ? id : loans[i]->wanted_pool;
--- a/radishmoor/fleet/lending.h
+++ b/radishmoor/fleet/lending.h
@@ -43,17 +43,18 @@
   Duration period = Seconds(86400);
   uint32_t bins = 1440;
   // Covers the drain, the gate and the admission of a move.
-  Duration lead = Seconds(60);
+  Duration lead_time = Seconds(60);
   Duration return_after = Seconds(30);
-  double weight = 0.5;  // Of the newest period in the learned load.
+  double newest_period_weight =
+      0.5;  // Of the newest period in the learned load.
 };
 
 using LendingPolicy =
     std::variant<StaticLending, HysteresisLending, PredictiveLending>;
 
-class Lender {
+class LendingPlanner {
  public:
-  explicit Lender(LendingPolicy policy) : policy_(policy) {}
+  explicit LendingPlanner(LendingPolicy policy) : policy_(policy) {}
 
   void ObserveLoads(Time now, std::span<const PoolLoad> loads);
 
@@ -65,27 +66,27 @@
     double load = 0;
     bool known = false;
   };
-  struct PoolMemory {
+  struct LoadHistory {
     double demand = 0;
     Time reported{};
     Time high_since = kTimeMax;
     Time low_since = kTimeMax;
     std::vector<Bin> bins;
     size_t current_bin = 0;
-    double current_max = 0;
+    double current_bin_max = 0;
   };
 
   // Load to plan for.
-  double Expected(Time now, const PoolMemory& memory) const;
-  void Learn(Time now, PoolMemory* memory) const;
+  double ExpectedLoad(Time now, const LoadHistory& history) const;
+  void RecordLoad(Time now, LoadHistory* history) const;
   // Hosts on loan that the pool should have, given those it has.
   uint32_t WantedLoans(Time now,
-                       PoolMemory* memory,
+                       LoadHistory* history,
                        uint32_t own,
                        uint32_t loans) const;
 
   LendingPolicy policy_;
-  std::map<PoolId, PoolMemory> pools_;
+  std::map<PoolId, LoadHistory> pools_;
 };
 
 }  // namespace radishmoor
--- a/radishmoor/fleet/moves.cc
+++ b/radishmoor/fleet/moves.cc
@@ -28,22 +28,22 @@
 
 }  // namespace
 
-HostPurpose PurposeOf(const FleetState& state,
-                      const HostState& host,
-                      const LendingPlan& plan,
-                      bool wave_paused) {
-  HostPurpose purpose;
+DrainReasons DrainReasonsOf(const FleetState& state,
+                            const HostState& host,
+                            const LendingPlan& plan,
+                            bool wave_paused) {
+  DrainReasons reasons;
   if (host.phase == HostPhase::kRetired)
-    return purpose;
+    return reasons;
   PoolId target = WantedPool(state, host, plan);
   if (target != host.pool)
-    purpose.move_to = target;
+    reasons.move_to = target;
   const PoolState* pool = state.FindPool(host.pool);
-  bool released = pool && pool->closed && !purpose.move_to;
-  purpose.retire = host.intent == HostIntent::kRetire || released;
-  purpose.hold = host.intent == HostIntent::kDrain;
-  purpose.maintain = !wave_paused && IsDue(state, host);
-  return purpose;
+  bool released = pool && pool->closed && !reasons.move_to;
+  reasons.retire = host.intent == HostIntent::kRetire || released;
+  reasons.hold = host.intent == HostIntent::kDrain;
+  reasons.maintain = !wave_paused && IsDue(state, host);
+  return reasons;
 }
 
 HostState StartDrain(HostState host, ConfigVersion version) {
@@ -81,7 +81,7 @@
   return host;
 }
 
-HostState FlipPool(HostState host, const PoolId& pool) {
+HostState MoveToPool(HostState host, const PoolId& pool) {
   RADISHMOOR_INVARIANT("fleet.flip_only_drained",
                        host.phase == HostPhase::kDrained);
   host.pool = pool;
--- a/radishmoor/fleet/moves.h
+++ b/radishmoor/fleet/moves.h
@@ -12,7 +12,7 @@
 
 namespace radishmoor {
 
-struct HostPurpose {
+struct DrainReasons {
   bool retire = false;    // Leaves the fleet.
   bool hold = false;      // The operator wants it drained.
   bool maintain = false;  // Due for the current round.
@@ -22,10 +22,10 @@
 };
 
 // `wave_paused` leaves maintenance out.
-HostPurpose PurposeOf(const FleetState& state,
-                      const HostState& host,
-                      const LendingPlan& plan,
-                      bool wave_paused);
+DrainReasons DrainReasonsOf(const FleetState& state,
+                            const HostState& host,
+                            const LendingPlan& plan,
+                            bool wave_paused);
 
 // New values of a host for each change that control makes. `version` is that of
 // the change.
@@ -35,7 +35,7 @@
                       ConfigVersion version,
                       const std::string& round);
 HostState FinishReboot(HostState host);
-HostState FlipPool(HostState host, const PoolId& pool);
+HostState MoveToPool(HostState host, const PoolId& pool);
 HostState Activate(HostState host);
 HostState Retire(HostState host);
 
--- a/radishmoor/fleet/retirement.cc
+++ b/radishmoor/fleet/retirement.cc
@@ -18,9 +18,9 @@
     queues_[load.pool] = {now, load.queued};
 }
 
-bool Retirement::MayRelease(Time now,
-                            const FleetState& state,
-                            const HostState& host) const {
+bool Retirement::MayDrainFromClosedPool(Time now,
+                                        const FleetState& state,
+                                        const HostState& host) const {
   uint32_t active = 0;
   for (const auto& [id, other] : state.hosts) {
     if (other.pool == host.pool && other.phase == HostPhase::kActive)
@@ -33,15 +33,15 @@
     return false;
   // Entry processes learn of the closing within `margin`; a queue that is empty
   // after that receives nothing more.
-  Time settled = closed->second + options_.margin;
+  Time closing_known_at = closed->second + options_.margin;
   auto queue = queues_.find(host.pool);
   if (queue != queues_.end() && queue->second.queued == 0 &&
-      queue->second.reported >= settled &&
+      queue->second.reported >= closing_known_at &&
       now - queue->second.reported <= options_.load_valid_for) {
     return true;
   }
   return options_.max_request_time > Duration::zero() &&
-         now >= settled + options_.max_request_time;
+         now >= closing_known_at + options_.max_request_time;
 }
 
 std::optional<ConfigDelta> Retirement::RemovePool(const FleetState& state,
--- a/radishmoor/fleet/retirement.h
+++ b/radishmoor/fleet/retirement.h
@@ -30,9 +30,9 @@
 
   // The host may leave its closed pool: others still serve the queue, or the
   // queue is empty by a report that is newer than the closing.
-  bool MayRelease(Time now,
-                  const FleetState& state,
-                  const HostState& host) const;
+  bool MayDrainFromClosedPool(Time now,
+                              const FleetState& state,
+                              const HostState& host) const;
 
   // The change that removes a closed pool once no host belongs to it except
   // retired ones and none wants to join it; nothing while some remain.
@@ -40,14 +40,14 @@
                                                const PoolId& pool);
 
  private:
-  struct Queue {
+  struct QueueReport {
     Time reported{};
     uint64_t queued = 0;
   };
 
   RetirementOptions options_;
   std::map<PoolId, Time> closed_since_;
-  std::map<PoolId, Queue> queues_;
+  std::map<PoolId, QueueReport> queues_;
 };
 
 }  // namespace radishmoor
--- a/radishmoor/fleet/testing/controller_test.cc
+++ b/radishmoor/fleet/testing/controller_test.cc
@@ -8,7 +8,7 @@
 namespace radishmoor {
 namespace {
 
-constexpr Time At(int64_t seconds) {
+constexpr Time AtSecond(int64_t seconds) {
   return kTimeZero + Seconds(seconds);
 }
 
@@ -20,7 +20,7 @@
 }
 
 // No host is on its way and no work is left for control.
-std::string Unfinished(const FleetState& state) {
+std::string DescribeUnfinishedHosts(const FleetState& state) {
   std::string text;
   for (const auto& [id, host] : state.hosts) {
     if (host.intent != HostIntent::kServe)
@@ -38,7 +38,7 @@
 }
 
 // Runs ten minutes with faults and lets the site settle without.
-void RunRandom(uint64_t seed, const SimFaults& faults) {
+void RunWithRandomFaults(uint64_t seed, const SimFaults& faults) {
   SetInvariantSeed(seed);
   SimOptions options;
   options.seed = seed;
@@ -51,8 +51,8 @@
   sim.SetRound("m0");
   sim.EditHost(HostId("h103"),
                [](HostState* h) { h->wanted_pool = PoolId("b"); });
-  sim.Run(At(600), At(600));
-  sim.Operate([](FleetState* state, ConfigDelta* delta) {
+  sim.Run(AtSecond(600), AtSecond(600));
+  sim.CommitOperatorChange([](FleetState* state, ConfigDelta* delta) {
     for (auto& [id, pool] : state->pools) {
       pool.max_unavailable = 2;
       delta->pools.push_back(pool);
@@ -62,12 +62,12 @@
       delta->hosts.push_back(host);
     }
   });
-  sim.Run(At(2000));
+  sim.Run(AtSecond(2000));
   INFO("seed " << seed);
   INFO(Join(sim.violations));
   CHECK(sim.violations.empty());
-  INFO(Unfinished(*sim.truth()));
-  CHECK(Unfinished(*sim.truth()).empty());
+  INFO(DescribeUnfinishedHosts(*sim.committed_state()));
+  CHECK(DescribeUnfinishedHosts(*sim.committed_state()).empty());
   CHECK(sim.drains > 10);
 }
 
@@ -82,57 +82,57 @@
       &SimFaults::racks,          &SimFaults::reboots_fail,
       &SimFaults::platform_drops, &SimFaults::operators};
   uint64_t seed = 20261204;
-  RunRandom(seed++, {});
+  RunWithRandomFaults(seed++, {});
   for (size_t a = 0; a < flags.size(); ++a) {
     for (size_t b = a; b < flags.size(); ++b) {
       SimFaults faults;
       faults.*flags[a] = true;
       faults.*flags[b] = true;
-      RunRandom(seed++, faults);
+      RunWithRandomFaults(seed++, faults);
     }
   }
   for (int i = 0; i < 10; ++i) {
     SimFaults faults;
     for (Flag flag : flags)
       faults.*flag = true;
-    RunRandom(seed++, faults);
+    RunWithRandomFaults(seed++, faults);
   }
 }
 
 // Drain gate.
 
-struct GateCase {
+struct DrainGateFixture {
   FleetState state;
   DrainGate gate{DrainGateOptions{.max_request_time = Seconds(60)}};
   HostState host;
   MemberView member;
 
-  GateCase() {
+  DrainGateFixture() {
     host.id = HostId("h");
     host.zone = ZoneId("z0");
     host.phase = HostPhase::kDraining;
     host.drain_version = 7;
     state.version = 7;
     state.hosts[host.id] = host;
-    gate.ObserveState(At(100), state);
+    gate.ObserveState(AtSecond(100), state);
     member.id = MemberId("e");
     member.incarnation = {1};
     member.zone = host.zone;
     member.host = "eh";
     member.host_instance = 3;
     member.version_in_force = 6;
-    member.last_change = At(100);
+    member.last_change = AtSecond(100);
   }
   GateBlock Check(int64_t seconds, std::vector<MemberView> members) {
-    gate.ObserveMembers({At(100), std::move(members)});
-    return gate.Check(At(seconds), host).block;
+    gate.ObserveMembers({AtSecond(100), std::move(members)});
+    return gate.Check(AtSecond(seconds), host).block;
   }
 };
 
 // Guards against a host handed over while a member of its zone may still send
 // or has requests in flight, however long it is silent.
 TEST_CASE("a member of the host's zone must acknowledge and be idle") {
-  GateCase c;
+  DrainGateFixture c;
   CHECK(c.Check(1'000'000, {c.member}) == GateBlock::kLocalNotAcknowledged);
   c.member.version_in_force = 7;
   c.member.busy = {c.host.id};
@@ -146,7 +146,7 @@
 
 // Guards against a lagging host list or a reused name taken as proof of an end.
 TEST_CASE("only the confirmed end of the very instance excuses a member") {
-  GateCase c;
+  DrainGateFixture c;
   auto list = [&](HostListState state, uint64_t instance) {
     std::vector<HostListEntry> hosts{{"eh", state, instance}};
     c.gate.ObserveHostList(hosts);
@@ -164,7 +164,7 @@
 }
 
 TEST_CASE("a newer incarnation replaces the row of an older one") {
-  GateCase c;
+  DrainGateFixture c;
   MemberView newer = c.member;
   newer.incarnation = {2};
   newer.version_in_force = 8;
@@ -177,7 +177,7 @@
 // Guards against a reboot under requests of an unreachable member of another
 // zone: its sends end after 5 s + 1 s, its requests at their deadline.
 TEST_CASE("a member of another zone is bounded by view age and deadline") {
-  GateCase c;
+  DrainGateFixture c;
   c.member.zone = ZoneId("z1");
   CHECK(c.Check(105, {c.member}) == GateBlock::kRemoteMaySend);
   CHECK(c.Check(106, {c.member}) == GateBlock::kRemoteMayBeBusy);
@@ -188,13 +188,13 @@
   c.member.busy = {c.host.id};
   CHECK(c.Check(165, {c.member}) == GateBlock::kRemoteMayBeBusy);
   CHECK(c.Check(166, {c.member}) == GateBlock::kNone);
-  c.member.last_change = At(160);
+  c.member.last_change = AtSecond(160);
   CHECK(c.Check(170, {c.member}) == GateBlock::kRemoteMayBeBusy);
   c.member.busy.clear();
   CHECK(c.Check(100, {c.member}) == GateBlock::kNone);
-  GateCase unbounded;
+  DrainGateFixture unbounded;
   unbounded.gate = DrainGate{DrainGateOptions{.max_request_time = Seconds(0)}};
-  unbounded.gate.ObserveState(At(100), unbounded.state);
+  unbounded.gate.ObserveState(AtSecond(100), unbounded.state);
   unbounded.member.zone = ZoneId("z1");
   CHECK(unbounded.Check(1'000'000, {unbounded.member}) ==
         GateBlock::kRemoteMayBeBusy);
@@ -203,27 +203,30 @@
 // Guards against a member that registered between the reading of the list and
 // the drain.
 TEST_CASE("a member list read before the drain was known proves nothing") {
-  GateCase c;
-  c.gate.ObserveMembers({At(99), {}});
-  CHECK(c.gate.Check(At(200), c.host).block == GateBlock::kMembersNotRead);
-  c.gate.ObserveMembers({At(100), {}});
-  CHECK(c.gate.Check(At(200), c.host).open);
+  DrainGateFixture c;
+  c.gate.ObserveMembers({AtSecond(99), {}});
+  CHECK(c.gate.Check(AtSecond(200), c.host).block ==
+        GateBlock::kMembersNotRead);
+  c.gate.ObserveMembers({AtSecond(100), {}});
+  CHECK(c.gate.Check(AtSecond(200), c.host).open);
   // A second drain of the host counts from its own start.
   c.host.drain_version = 9;
   c.state.hosts[c.host.id] = c.host;
-  CHECK_FALSE(c.gate.Check(At(200), c.host).open);
-  c.gate.ObserveState(At(200), c.state);
-  CHECK(c.gate.Check(At(200), c.host).block == GateBlock::kMembersNotRead);
+  CHECK_FALSE(c.gate.Check(AtSecond(200), c.host).open);
+  c.gate.ObserveState(AtSecond(200), c.state);
+  CHECK(c.gate.Check(AtSecond(200), c.host).block ==
+        GateBlock::kMembersNotRead);
 }
 
 // Writer.
 
-struct WriterCase {
+struct ChangeWriterFixture {
   ChangeWriter writer;
   ConfigDelta delta;
   uint64_t tag = 0;
 
-  explicit WriterCase(uint64_t seed) : writer(ChangeWriterOptions{}, seed) {
+  explicit ChangeWriterFixture(uint64_t seed)
+      : writer(ChangeWriterOptions{}, seed) {
     delta.version = 5;
     delta.author = "c";
   }
@@ -250,16 +253,16 @@
 // Guards against a change done twice, or taken as failed, after a lost answer.
 TEST_CASE("a lost answer is resolved by the operation id of the delta") {
   for (int outcome = 0; outcome < 3; ++outcome) {
-    WriterCase c(1);
-    ConfigDelta sent = c.Start(At(10));
-    CHECK_FALSE(c.Answer(At(11), UnknownReply{}));
-    CHECK_FALSE(c.writer.Ready(At(20)));
+    ChangeWriterFixture c(1);
+    ConfigDelta sent = c.Start(AtSecond(10));
+    CHECK_FALSE(c.Answer(AtSecond(11), UnknownReply{}));
+    CHECK_FALSE(c.writer.Ready(AtSecond(20)));
     ConfigDelta other = sent;
     other.operation.value ^= 2;
     std::string text = outcome == 0   ? EncodeDelta(sent)
                        : outcome == 1 ? EncodeDelta(other)
                                       : "";
-    std::optional<WriteResult> result = c.ReadBack(At(20), text);
+    std::optional<WriteResult> result = c.ReadBack(AtSecond(20), text);
     REQUIRE(result);
     CHECK(result->outcome == (outcome == 0   ? WriteOutcome::kCommitted
                               : outcome == 1 ? WriteOutcome::kConflict
@@ -268,11 +271,11 @@
   }
   // A store that never answers counts as an unknown outcome, and its late
   // answer changes nothing.
-  WriterCase c(1);
-  c.Start(At(10));
-  c.writer.Tick(At(41));
+  ChangeWriterFixture c(1);
+  c.Start(AtSecond(10));
+  c.writer.Tick(AtSecond(41));
   CHECK(c.writer.unknown() == 1);
-  CHECK_FALSE(c.Answer(At(41), CommittedReply{{49, 50}}));
+  CHECK_FALSE(c.Answer(AtSecond(41), CommittedReply{{49, 50}}));
   CHECK_FALSE(c.writer.idle());
 }
 
@@ -281,10 +284,10 @@
 TEST_CASE("writes are limited and back off with jitter") {
   std::set<Time> returns;
   for (uint64_t seed = 1; seed <= 8; ++seed) {
-    WriterCase c(seed);
+    ChangeWriterFixture c(seed);
     int calls = 0;
-    Time now = At(10);
-    for (; now < At(610); now += Milliseconds(1)) {
+    Time now = AtSecond(10);
+    for (; now < AtSecond(610); now += Milliseconds(1)) {
       if (!c.writer.Ready(now))
         continue;
       c.Start(now);
@@ -298,10 +301,10 @@
   }
   CHECK(returns.size() >= 7);
   CHECK(*returns.rbegin() - *returns.begin() > Seconds(1));
-  WriterCase c(1);
+  ChangeWriterFixture c(1);
   c.writer.SetWriterCount(4);
   int calls = 0;
-  for (Time now = At(10); now < At(20); now += Milliseconds(1)) {
+  for (Time now = AtSecond(10); now < AtSecond(20); now += Milliseconds(1)) {
     if (!c.writer.Ready(now))
       continue;
     c.Start(now);
@@ -313,7 +316,7 @@
 
 // Waves, moves, retirement and lending on a site without random faults.
 
-SimOptions Quiet(uint64_t seed = 7) {
+SimOptions OptionsWithoutFaults(uint64_t seed = 7) {
   SimOptions options;
   options.seed = seed;
   options.control.wave.canary_soak = Seconds(30);
@@ -323,12 +326,12 @@
 
 uint32_t CountPhase(const FleetSim& sim, HostPhase phase) {
   uint32_t count = 0;
-  for (const auto& [id, host] : sim.truth()->hosts)
+  for (const auto& [id, host] : sim.committed_state()->hosts)
     count += host.phase == phase ? 1 : 0;
   return count;
 }
 
-void CheckClean(const FleetSim& sim) {
+void CheckNoViolations(const FleetSim& sim) {
   INFO(Join(sim.violations));
   CHECK(sim.violations.empty());
 }
@@ -336,7 +339,7 @@
 // Guards against a round that takes more than its limits, or that goes on
 // before the canary was healthy for its time.
 TEST_CASE("a wave keeps canary, rack, zone and pool limits and reports") {
-  SimOptions options = Quiet();
+  SimOptions options = OptionsWithoutFaults();
   options.hosts_per_pool = 8;
   // Once the rack limit binds, once the limits of zone and pool.
   uint32_t max_racks = GENERATE(1U, 2U);
@@ -344,7 +347,7 @@
   options.max_racks = max_racks;
   options.wave_limit = wave_limit;
   FleetSim sim(options);
-  sim.Run(At(30));
+  sim.Run(AtSecond(30));
   sim.SetRound("m1");
   Time canary_done = kTimeMax;
   bool limits_kept = true;
@@ -355,11 +358,11 @@
     std::set<ZoneId> zones;
     std::map<PoolId, uint32_t> pools;
     uint32_t out = 0;
-    for (const auto& [id, host] : sim.truth()->hosts) {
+    for (const auto& [id, host] : sim.committed_state()->hosts) {
       bool done = host.maintained == "m1" && host.phase == HostPhase::kActive;
       if (done)
         canary_done = std::min(canary_done, sim.now());
-      if (!InMaintenance(*sim.truth(), host))
+      if (!InMaintenance(*sim.committed_state(), host))
         continue;
       ++out;
       racks.insert(host.rack);
@@ -376,83 +379,87 @@
     else if (sim.now() < canary_done + Seconds(29))
       canary_alone &= out == 0;
   };
-  sim.Run(At(1500));
+  sim.Run(AtSecond(1500));
   CHECK(limits_kept);
   CHECK(canary_alone);
   CHECK(spare_first);
-  CHECK(Unfinished(*sim.truth()).empty());
+  CHECK(DescribeUnfinishedHosts(*sim.committed_state()).empty());
   REQUIRE(sim.reports.size() == sim.procs.size());
   CHECK(sim.reports[0].hosts_maintained + sim.reports[1].hosts_maintained ==
         24);
   CHECK_FALSE(sim.reports[0].partial);
   CHECK(sim.reports[0].requests_cut == 0);
   CHECK(sim.reports[0].budget_used[PoolId("a")] <= 2);
-  CheckClean(sim);
+  CheckNoViolations(sim);
 }
 
 // Guards against a round that goes on while hosts do not survive it.
 TEST_CASE("failures after reboot pause the wave until they are over") {
-  FleetSim sim(Quiet());
-  sim.Run(At(30));
+  FleetSim sim(OptionsWithoutFaults());
+  sim.Run(AtSecond(30));
   sim.SetRound("m1");
   std::vector<HostId> failed;
   sim.on_step = [&] {
-    for (const auto& [id, host] : sim.truth()->hosts) {
+    for (const auto& [id, host] : sim.committed_state()->hosts) {
       bool done = host.maintained == "m1" && host.phase == HostPhase::kActive;
       bool known = std::find(failed.begin(), failed.end(), id) != failed.end();
       // The canary passes; the next two hosts fail after their return.
       if (done && !known && failed.size() < 3) {
         failed.push_back(id);
         if (failed.size() > 1)
-          sim.FailHost(id, At(500) - sim.now());
+          sim.FailHost(id, AtSecond(500) - sim.now());
       }
     }
   };
-  sim.Run(At(300));
+  sim.Run(AtSecond(300));
   REQUIRE(failed.size() == 3);
   CHECK(sim.procs[0].controller->wave_paused());
   uint64_t drains = sim.drains;
-  sim.Run(At(520));
+  sim.Run(AtSecond(520));
   CHECK(sim.drains == drains);
   CHECK(CountPhase(sim, HostPhase::kActive) == 18);
   sim.on_step = nullptr;
-  sim.Run(At(1500));
-  CHECK(Unfinished(*sim.truth()).empty());
-  CheckClean(sim);
+  sim.Run(AtSecond(1500));
+  CHECK(DescribeUnfinishedHosts(*sim.committed_state()).empty());
+  CheckNoViolations(sim);
 }
 
 // Guards against reservations kept while losses take the budget.
 TEST_CASE("losses start nothing and give reservations back") {
-  SimOptions options = Quiet();
+  SimOptions options = OptionsWithoutFaults();
   options.control.wave.canary_soak = Seconds(0);
   options.max_racks = 3;
   FleetSim sim(options);
-  sim.Run(At(30));
+  sim.Run(AtSecond(30));
   // Members of zone 0 stay busy: paused, so that no drain there ends.
-  for (FleetSim::Entry& entry : sim.entries)
-    entry.paused_until = At(36);
+  for (FleetSim::EntryProcess& entry : sim.entries)
+    entry.paused_until = AtSecond(36);
   sim.EditHost(HostId("h100"),
                [](HostState* h) { h->wanted_pool = PoolId("b"); });
-  sim.Run(At(33));
-  REQUIRE(sim.truth()->FindHost(HostId("h100"))->phase == HostPhase::kDraining);
+  sim.Run(AtSecond(33));
+  REQUIRE(sim.committed_state()->FindHost(HostId("h100"))->phase ==
+          HostPhase::kDraining);
   sim.FailHost(HostId("h101"), Seconds(8));
   sim.FailHost(HostId("h102"), Seconds(8));
-  sim.Run(At(36));
-  CHECK(sim.truth()->FindHost(HostId("h100"))->phase == HostPhase::kActive);
+  sim.Run(AtSecond(36));
+  CHECK(sim.committed_state()->FindHost(HostId("h100"))->phase ==
+        HostPhase::kActive);
   // Losses that come and go do not drain the host in turn.
-  sim.Run(At(60));
+  sim.Run(AtSecond(60));
   CHECK(sim.drains == 1);
   sim.FailHost(HostId("h101"), Seconds(200));
   sim.FailHost(HostId("h102"), Seconds(200));
   sim.EditHost(HostId("h103"),
                [](HostState* h) { h->intent = HostIntent::kDrain; });
-  sim.Run(At(200));
+  sim.Run(AtSecond(200));
   CHECK(sim.drains == 1);
-  CHECK(sim.truth()->FindHost(HostId("h103"))->phase == HostPhase::kActive);
-  sim.Run(At(400));
-  CHECK(sim.truth()->FindHost(HostId("h100"))->pool == PoolId("b"));
-  CHECK(sim.truth()->FindHost(HostId("h103"))->phase == HostPhase::kDrained);
-  CheckClean(sim);
+  CHECK(sim.committed_state()->FindHost(HostId("h103"))->phase ==
+        HostPhase::kActive);
+  sim.Run(AtSecond(400));
+  CHECK(sim.committed_state()->FindHost(HostId("h100"))->pool == PoolId("b"));
+  CHECK(sim.committed_state()->FindHost(HostId("h103"))->phase ==
+        HostPhase::kDrained);
+  CheckNoViolations(sim);
 }
 
 // Guards against progress that only a controller's memory holds: each action of
@@ -461,21 +468,21 @@
   uint64_t total = 0;
   for (uint64_t k = 0; k == 0 || k <= total; ++k) {
     for (bool after : {false, true}) {
-      SimOptions options = Quiet();
+      SimOptions options = OptionsWithoutFaults();
       options.hosts_per_pool = 2;
       options.max_unavailable = 1;
       options.control.wave.canary_soak = Seconds(5);
       FleetSim sim(options);
-      sim.kill_at = k;
-      sim.kill_after = after;
-      sim.Run(At(20));
+      sim.kill_at_action = k;
+      sim.kill_after_action = after;
+      sim.Run(AtSecond(20));
       sim.SetRound("m1");
       sim.EditHost(HostId("h100"),
                    [](HostState* h) { h->wanted_pool = PoolId("b"); });
-      sim.Run(At(600));
+      sim.Run(AtSecond(600));
       INFO("killed at action " << k << " after it: " << after);
-      CHECK(Unfinished(*sim.truth()).empty());
-      CheckClean(sim);
+      CHECK(DescribeUnfinishedHosts(*sim.committed_state()).empty());
+      CheckNoViolations(sim);
       if (k == 0)
         total = sim.actions;
     }
@@ -485,42 +492,42 @@
 
 // Guards against a paused process that acts on a lease it lost.
 TEST_CASE("a controller without a valid lease writes and asks nothing") {
-  FleetSim sim(Quiet());
-  sim.Run(At(20));
+  FleetSim sim(OptionsWithoutFaults());
+  sim.Run(AtSecond(20));
   sim.SetRound("m1");
   while (CountPhase(sim, HostPhase::kRebooting) == 0)
     sim.Run(sim.now() + Milliseconds(200));
-  for (FleetSim::Proc& proc : sim.procs)
-    proc.paused_until = At(300);
-  sim.Run(At(299));
+  for (FleetSim::ControlProcess& proc : sim.procs)
+    proc.paused_until = AtSecond(300);
+  sim.Run(AtSecond(299));
   uint64_t actions = sim.actions;
   sim.store_up = false;
-  sim.Run(At(400));
+  sim.Run(AtSecond(400));
   CHECK(sim.actions == actions);
-  CheckClean(sim);
+  CheckNoViolations(sim);
 }
 
 // Guards against a second round taken as done by the first one's reboot, when
 // the host did not serve in between.
 TEST_CASE("each reservation has its own reboot") {
-  FleetSim sim(Quiet());
+  FleetSim sim(OptionsWithoutFaults());
   sim.EditHost(HostId("h112"),
                [](HostState* h) { h->intent = HostIntent::kDrain; });
-  sim.Run(At(60));
+  sim.Run(AtSecond(60));
   for (const char* round : {"m1", "m2"}) {
     uint64_t before = sim.reboots[HostId("h112")];
     sim.SetRound(round);
     sim.Run(sim.now() + Seconds(600));
-    CHECK(sim.truth()->FindHost(HostId("h112"))->maintained == round);
+    CHECK(sim.committed_state()->FindHost(HostId("h112"))->maintained == round);
     CHECK(sim.reboots[HostId("h112")] == before + 1);
   }
-  CheckClean(sim);
+  CheckNoViolations(sim);
 }
 
 // Guards against a budget that trusts old reports about a zone that the
 // platform cannot reach.
 TEST_CASE("hosts of a partitioned zone count as unavailable") {
-  GateCase c;
+  DrainGateFixture c;
   FleetState state;
   state.pools[PoolId("a")] = {.id = PoolId("a"), .max_unavailable = 1};
   std::vector<HostObservation> seen;
@@ -530,44 +537,44 @@
     host.pool = PoolId("a");
     host.zone = ZoneId(name == std::string("h1") ? "z0" : "z1");
     state.hosts[host.id] = host;
-    seen.push_back({host.id, HostHealth::kHealthy, {}, At(112)});
+    seen.push_back({host.id, HostHealth::kHealthy, {}, AtSecond(112)});
   }
   HealthView health(HealthOptions{});
   health.Observe(seen);
   for (int64_t second : {112, 113}) {
-    c.gate.ObserveMembers({At(second), {c.member}});
-    health.ObserveZones(At(second), c.gate);
-    BudgetTable budgets(At(second), state, health);
+    c.gate.ObserveMembers({AtSecond(second), {c.member}});
+    health.ObserveZones(AtSecond(second), c.gate);
+    BudgetTable budgets(AtSecond(second), state, health);
     bool cut = second == 113;  // 12 s after the row's last change.
     CHECK(budgets.unavailable(PoolId("a")) == (cut ? 1U : 0U));
-    CHECK(budgets.MayTake(state.hosts[HostId("h2")]) == !cut);
+    CHECK(budgets.MayMakeUnavailable(state.hosts[HostId("h2")]) == !cut);
   }
   // A report from before a reboot says nothing about the host after it.
   const HostState& h2 = state.hosts[HostId("h2")];
-  CHECK(health.HealthySince(At(113), h2, At(111)));
-  CHECK_FALSE(health.HealthySince(At(113), h2, At(112)));
+  CHECK(health.HealthySince(AtSecond(113), h2, AtSecond(111)));
+  CHECK_FALSE(health.HealthySince(AtSecond(113), h2, AtSecond(112)));
 }
 
 // Guards against writes of a holder whose lease was taken over: only the fence
 // rows tell it apart, since the head is current.
 TEST_CASE("a write with an old fence fails and is not repeated") {
-  SimOptions options = Quiet();
+  SimOptions options = OptionsWithoutFaults();
   options.controllers = 1;
   FleetSim sim(options);
-  sim.Run(At(20));
+  sim.Run(AtSecond(20));
   uint64_t sent = 0;
-  sim.intercept = [&](FleetSim::Proc& proc, const StoreCall& call) {
+  sim.intercept = [&](FleetSim::ControlProcess& proc, const StoreCall& call) {
     ++sent;
     Transaction steal{{99}, {}, {}};
     for (const char* pool : {"a", "b", "spare"})
       steal.writes.push_back({std::string("lease/") + pool, "thief"});
     sim.Apply(CommitRows{steal});
-    proc.next_poll = At(1000);
+    proc.next_poll = AtSecond(1000);
     sim.Answer(proc, call.tag, sim.Apply(call.request), Milliseconds(5));
     return true;
   };
   sim.SetRound("m1");
-  sim.Run(At(25));
+  sim.Run(AtSecond(25));
   // One attempt for each of the three leases.
   CHECK(sent == 3);
   CHECK(sim.drains == 0);
@@ -577,128 +584,130 @@
 // Guards against a partition that stops the wave elsewhere or moves hosts that
 // cannot be reached.
 TEST_CASE("hosts of a partitioned zone stay as they are, others go on") {
-  SimOptions options = Quiet();
+  SimOptions options = OptionsWithoutFaults();
   options.pools = {"a", "spare"};
   options.hosts_per_pool = 12;
   options.max_unavailable = 6;
   options.controllers = 3;
   options.control.wave.canary_soak = Seconds(5);
   FleetSim sim(options);
-  sim.Run(At(20));
+  sim.Run(AtSecond(20));
   sim.Partition(ZoneId("z1"), Seconds(1500));
-  sim.Run(At(60));
+  sim.Run(AtSecond(60));
   sim.SetRound("m1");
   sim.EditHost(HostId("h101"),
                [](HostState* h) { h->intent = HostIntent::kDrain; });
-  sim.Run(At(1400));
-  for (const auto& [id, host] : sim.truth()->hosts) {
+  sim.Run(AtSecond(1400));
+  for (const auto& [id, host] : sim.committed_state()->hosts) {
     bool cut = host.zone == ZoneId("z1");
     CHECK(host.maintained == (cut ? "" : "m1"));
     CHECK(host.phase == HostPhase::kActive);
   }
-  sim.Run(At(2500));
-  CHECK(Unfinished(*sim.truth()).empty());
-  CheckClean(sim);
+  sim.Run(AtSecond(2500));
+  CHECK(DescribeUnfinishedHosts(*sim.committed_state()).empty());
+  CheckNoViolations(sim);
 }
 
 // Guards against a reboot under work that only the backend server knows of.
 TEST_CASE("running requests that a host reports keep it draining") {
-  FleetSim sim(Quiet());
+  FleetSim sim(OptionsWithoutFaults());
   sim.running[HostId("h100")] = 1;
   sim.EditHost(HostId("h100"),
                [](HostState* h) { h->intent = HostIntent::kDrain; });
-  sim.Run(At(100));
+  sim.Run(AtSecond(100));
   const HostId id("h100");
-  CHECK(sim.truth()->FindHost(id)->phase == HostPhase::kDraining);
+  CHECK(sim.committed_state()->FindHost(id)->phase == HostPhase::kDraining);
   sim.running[id] = 0;
-  sim.Run(At(110));
-  CHECK(sim.truth()->FindHost(id)->phase == HostPhase::kDrained);
+  sim.Run(AtSecond(110));
+  CHECK(sim.committed_state()->FindHost(id)->phase == HostPhase::kDrained);
   // A drain without purpose ends.
   sim.EditHost(HostId("h101"),
                [](HostState* h) { h->intent = HostIntent::kDrain; });
   sim.running[HostId("h101")] = 1;
-  sim.Run(At(115));
+  sim.Run(AtSecond(115));
   REQUIRE(sim.drains == 2);
   sim.EditHost(HostId("h101"),
                [](HostState* h) { h->intent = HostIntent::kServe; });
-  sim.Run(At(120));
-  CHECK(sim.truth()->FindHost(HostId("h101"))->phase == HostPhase::kActive);
+  sim.Run(AtSecond(120));
+  CHECK(sim.committed_state()->FindHost(HostId("h101"))->phase ==
+        HostPhase::kActive);
 }
 
 // Guards against one drain that cannot be acknowledged stopping every zone.
 TEST_CASE("a wave goes on beside a drain that is stuck in a silent zone") {
-  SimOptions options = Quiet();
+  SimOptions options = OptionsWithoutFaults();
   options.max_unavailable = 4;
   options.max_racks = 1;
   FleetSim sim(options);
-  sim.Run(At(20));
+  sim.Run(AtSecond(20));
   sim.SetRound("m1");
-  for (FleetSim::Entry& entry : sim.entries) {
+  for (FleetSim::EntryProcess& entry : sim.entries) {
     if (entry.row.zone == ZoneId("z0"))
-      entry.paused_until = At(900);
+      entry.paused_until = AtSecond(900);
   }
-  sim.Run(At(800));
+  sim.Run(AtSecond(800));
   REQUIRE(CountPhase(sim, HostPhase::kDraining) == 1);
-  for (const auto& [id, host] : sim.truth()->hosts)
+  for (const auto& [id, host] : sim.committed_state()->hosts)
     CHECK((host.maintained == "m1") == (host.zone != ZoneId("z0")));
-  sim.Run(At(1600));
-  CHECK(Unfinished(*sim.truth()).empty());
-  CheckClean(sim);
+  sim.Run(AtSecond(1600));
+  CHECK(DescribeUnfinishedHosts(*sim.committed_state()).empty());
+  CheckNoViolations(sim);
 }
 
 TEST_CASE("hosts move, retire, and a closed service goes down to nothing") {
-  FleetSim sim(Quiet());
-  sim.Run(At(20));
+  FleetSim sim(OptionsWithoutFaults());
+  sim.Run(AtSecond(20));
   sim.EditHost(HostId("h100"),
                [](HostState* h) { h->wanted_pool = PoolId("b"); });
   sim.EditHost(HostId("h106"),
                [](HostState* h) { h->intent = HostIntent::kRetire; });
-  sim.Run(At(120));
-  const HostState* moved = sim.truth()->FindHost(HostId("h100"));
+  sim.Run(AtSecond(120));
+  const HostState* moved = sim.committed_state()->FindHost(HostId("h100"));
   CHECK(moved->pool == PoolId("b"));
   CHECK(moved->epoch == 2);
   CHECK(moved->phase == HostPhase::kActive);
-  CHECK(sim.truth()->FindHost(HostId("h106"))->phase == HostPhase::kRetired);
+  CHECK(sim.committed_state()->FindHost(HostId("h106"))->phase ==
+        HostPhase::kRetired);
   // One host of the closed pool goes to another pool; the last one waits for
   // the queue.
   sim.loads = {{PoolId("a"), 1, 5}};
   sim.EditHost(HostId("h101"),
                [](HostState* h) { h->wanted_pool = PoolId("b"); });
   sim.EditPool(PoolId("a"), [](PoolState* p) { p->closed = true; });
-  sim.Run(At(145));
+  sim.Run(AtSecond(145));
   CHECK(sim.Serving(PoolId("a")) == 1);
-  CHECK(sim.truth()->FindPool(PoolId("a")));
+  CHECK(sim.committed_state()->FindPool(PoolId("a")));
   sim.loads = {{PoolId("a"), 0, 0}};
-  sim.Run(At(250));
-  CHECK_FALSE(sim.truth()->FindPool(PoolId("a")));
-  CHECK_FALSE(sim.truth()->FindHost(HostId("h102")));
-  CHECK(sim.truth()->FindHost(HostId("h101"))->pool == PoolId("b"));
+  sim.Run(AtSecond(250));
+  CHECK_FALSE(sim.committed_state()->FindPool(PoolId("a")));
+  CHECK_FALSE(sim.committed_state()->FindHost(HostId("h102")));
+  CHECK(sim.committed_state()->FindHost(HostId("h101"))->pool == PoolId("b"));
   StoreReply lease = sim.Apply(ReadRows{{"lease/a"}});
   CHECK(std::get<RowsReply>(lease).rows.at(0).version == 0);
-  CheckClean(sim);
+  CheckNoViolations(sim);
 }
 
 TEST_CASE("work is kept off hosts that are due soon") {
-  FleetSim sim(Quiet());
-  sim.Run(At(20));
+  FleetSim sim(OptionsWithoutFaults());
+  sim.Run(AtSecond(20));
   const Controller& control = *sim.procs[0].controller;
-  CHECK_FALSE(control.SoonDue(HostId("h100")));
+  CHECK_FALSE(control.IsSoonDue(HostId("h100")));
   sim.EditHost(HostId("h110"),
                [](HostState* h) { h->intent = HostIntent::kDrain; });
   sim.SetRound("m1");
-  sim.Run(At(22));
-  CHECK(control.SoonDue(HostId("h110")));
-  CHECK(control.SoonDue(HostId("h100")));
+  sim.Run(AtSecond(22));
+  CHECK(control.IsSoonDue(HostId("h110")));
+  CHECK(control.IsSoonDue(HostId("h100")));
 }
 
 // Guards against lending that follows a peak too late or never ends.
 TEST_CASE("policies lend for a peak and take back after it") {
   const LendingPolicy hysteresis = HysteresisLending{};
   const LendingPolicy ahead = PredictiveLending{
-      .period = Seconds(300), .bins = 60, .lead = Seconds(60)};
+      .period = Seconds(300), .bins = 60, .lead_time = Seconds(60)};
   for (const LendingPolicy& policy : {hysteresis, ahead}) {
     bool learns = std::holds_alternative<PredictiveLending>(policy);
-    SimOptions options = Quiet();
+    SimOptions options = OptionsWithoutFaults();
     options.control.lending = policy;
     FleetSim sim(options);
     uint32_t most = 0;
@@ -709,14 +718,14 @@
       sim.loads = {{PoolId("a"), peak ? 9.0 : 1.0, 0}, {PoolId("b"), 1.0, 0}};
       uint32_t serving = sim.Serving(PoolId("a"));
       most = std::max(most, serving);
-      if (into == 149 && sim.now() > At(300))
+      if (into == 149 && sim.now() > AtSecond(300))
         before_peak = std::max(before_peak, serving);
     };
-    sim.Run(At(600));
+    sim.Run(AtSecond(600));
     CHECK(most > 6);
     CHECK((before_peak > 6) == learns);
     CHECK(sim.Serving(PoolId("a")) == 6);
-    CheckClean(sim);
+    CheckNoViolations(sim);
   }
 }
 
--- a/radishmoor/fleet/testing/fleet_bench.cc
+++ b/radishmoor/fleet/testing/fleet_bench.cc
@@ -18,8 +18,8 @@
 namespace radishmoor {
 namespace {
 
-constexpr Duration kWarmUp = Seconds(480);
-constexpr Duration kWindow = Seconds(1200);
+constexpr Duration kWarmUpTime = Seconds(480);
+constexpr Duration kMeasurementWindow = Seconds(1200);
 
 struct Site {
   const char* name;
@@ -36,7 +36,7 @@
 struct Variant {
   const char* name;
   LendingPolicy lending;
-  bool naive_wave = false;
+  bool one_host_at_a_time = false;
 };
 
 std::vector<Variant> Variants(Duration period) {
@@ -45,11 +45,11 @@
           {"hysteresis", HysteresisLending{.return_after = period / 4}},
           {"ahead of peak", PredictiveLending{.period = period,
                                               .bins = 30,
-                                              .lead = Seconds(30),
+                                              .lead_time = Seconds(30),
                                               .return_after = Seconds(10)}}};
 }
 
-struct Figures {
+struct Measurements {
   double buffer = 0;    // Mean hosts idle in the spare pool.
   double moves = 0;     // Pool changes of hosts in the window.
   double roll_out = 0;  // Seconds from naming the round to its last host.
@@ -59,16 +59,17 @@
 // Each of four pools peaks in turn at 5 times its mean of 2.6 hosts, which is
 // more than its 10 hosts, and is at a twentieth of the mean between. The share
 // of time at the peak follows: 0.19 of the period.
-class Demand {
+class PeakingDemand {
  public:
-  Demand(Duration period, uint64_t seed) : period_(period), random_(seed) {
+  PeakingDemand(Duration period, uint64_t seed)
+      : period_(period), random_(seed) {
     for (Duration& shift : shifts_)
       shift = random_.Between(Seconds(0), period / 20);
   }
   double At(Time now, int pool) const {
     Duration start = period_ * pool / 4 + shifts_[pool];
-    Duration into = ((now - kTimeZero) + period_ - start) % period_;
-    return into < period_ * 19 / 100 ? 13.0 : 0.13;
+    Duration offset = ((now - kTimeZero) + period_ - start) % period_;
+    return offset < period_ * 19 / 100 ? 13.0 : 0.13;
   }
 
  private:
@@ -88,25 +89,26 @@
         sim_(Options(site, variant, seed)),
         demand_(period, seed) {}
 
-  Figures Run() {
+  Measurements Run() {
     sim_.EditPool(PoolId("spare"),
                   [](PoolState* pool) { pool->max_unavailable = 5; });
-    if (variant_.naive_wave)
+    if (variant_.one_host_at_a_time)
       FinishAllHosts();
     sim_.on_step = [this] { Step(); };
-    sim_.Run(kTimeZero + kWarmUp);
+    sim_.Run(kTimeZero + kWarmUpTime);
     sim_.SetRound("m1");
-    sim_.Run(kTimeZero + kWarmUp + kWindow);
-    while (figures_.roll_out == 0 && sim_.now() < kTimeZero + Seconds(20'000))
+    sim_.Run(kTimeZero + kWarmUpTime + kMeasurementWindow);
+    while (measurements_.roll_out == 0 &&
+           sim_.now() < kTimeZero + Seconds(20'000))
       sim_.Run(sim_.now() + Seconds(10));
     if (!sim_.violations.empty()) {
       std::fprintf(stderr, "%s: %s\n", variant_.name,
                    sim_.violations[0].c_str());
       std::exit(1);
     }
-    figures_.buffer /= samples_;
-    figures_.unmet = 100 * unmet_ / demanded_;
-    return figures_;
+    measurements_.buffer /= samples_;
+    measurements_.unmet = 100 * unmet_ / demanded_;
+    return measurements_;
   }
 
  private:
@@ -129,19 +131,19 @@
   }
 
   void FinishAllHosts() {
-    sim_.Operate([](FleetState* state, ConfigDelta* delta) {
+    sim_.CommitOperatorChange([](FleetState* state, ConfigDelta* delta) {
       for (auto& [id, host] : state->hosts) {
         host.maintained = "m1";
         delta->hosts.push_back(host);
       }
     });
-    for (const auto& [id, host] : sim_.truth()->hosts)
+    for (const auto& [id, host] : sim_.committed_state()->hosts)
       waiting_.push_back(id);
   }
 
   // The baseline: an operator makes the next host due when the last is back.
-  void FeedNaiveWave() {
-    const FleetState& state = *sim_.truth();
+  void AdvanceOneHostWave() {
+    const FleetState& state = *sim_.committed_state();
     if (state.rules.maintenance.empty() || waiting_.empty() || !Done())
       return;
     sim_.EditHost(waiting_.back(), [](HostState* h) { h->maintained = ""; });
@@ -149,7 +151,7 @@
   }
 
   bool Done() const {
-    for (const auto& [id, host] : sim_.truth()->hosts) {
+    for (const auto& [id, host] : sim_.committed_state()->hosts) {
       if (host.maintained != "m1" || host.phase == HostPhase::kRebooting)
         return false;
     }
@@ -159,8 +161,8 @@
   void Step() {
     Time now = sim_.now();
     sim_.loads.clear();
-    bool measured =
-        now >= kTimeZero + kWarmUp && now < kTimeZero + kWarmUp + kWindow;
+    bool measured = now >= kTimeZero + kWarmUpTime &&
+                    now < kTimeZero + kWarmUpTime + kMeasurementWindow;
     for (int i = 0; i < 4; ++i) {
       PoolId pool(site_.pools[i]);
       double demand = demand_.At(now, i);
@@ -172,17 +174,17 @@
     }
     if (measured) {
       ++samples_;
-      figures_.buffer += sim_.Serving(PoolId("spare"));
-      figures_.moves = static_cast<double>(Moves());
-    } else if (now < kTimeZero + kWarmUp) {
+      measurements_.buffer += sim_.Serving(PoolId("spare"));
+      measurements_.moves = static_cast<double>(Moves());
+    } else if (now < kTimeZero + kWarmUpTime) {
       moves_before_ = 0;
       moves_before_ = Moves();
     }
-    if (variant_.naive_wave)
-      FeedNaiveWave();
-    if (now > kTimeZero + kWarmUp && figures_.roll_out == 0 &&
+    if (variant_.one_host_at_a_time)
+      AdvanceOneHostWave();
+    if (now > kTimeZero + kWarmUpTime && measurements_.roll_out == 0 &&
         waiting_.empty() && Done()) {
-      figures_.roll_out = ToSeconds(now - kTimeZero - kWarmUp);
+      measurements_.roll_out = ToSeconds(now - kTimeZero - kWarmUpTime);
     }
   }
 
@@ -193,8 +195,8 @@
   const Site& site_;
   const Variant& variant_;
   FleetSim sim_;
-  Demand demand_;
-  Figures figures_;
+  PeakingDemand demand_;
+  Measurements measurements_;
   std::vector<HostId> waiting_;
   double samples_ = 0;
   double demanded_ = 0;
@@ -202,10 +204,12 @@
   uint64_t moves_before_ = 0;
 };
 
-std::string Range(std::vector<Figures> all, double Figures::*field, bool json) {
+std::string MedianAndRange(std::vector<Measurements> all,
+                           double Measurements::*field,
+                           bool json) {
   std::vector<double> values;
-  for (const Figures& figures : all)
-    values.push_back(figures.*field);
+  for (const Measurements& measurements : all)
+    values.push_back(measurements.*field);
   std::sort(values.begin(), values.end());
   char text[96];
   std::snprintf(text, sizeof(text),
@@ -218,7 +222,7 @@
 void Print(const Site& site,
            const Variant& variant,
            Duration period,
-           const std::vector<Figures>& all,
+           const std::vector<Measurements>& all,
            bool json) {
   const char* format =
       json
@@ -226,10 +230,11 @@
             "\"moves\":%s,\"roll_out_s\":%s,\"unmet_percent\":%s}\n"
           : "%-9s %4d %-27s %-18s %-22s %-26s %s\n";
   std::printf(format, site.name, static_cast<int>(ToSeconds(period)),
-              variant.name, Range(all, &Figures::buffer, json).c_str(),
-              Range(all, &Figures::moves, json).c_str(),
-              Range(all, &Figures::roll_out, json).c_str(),
-              Range(all, &Figures::unmet, json).c_str());
+              variant.name,
+              MedianAndRange(all, &Measurements::buffer, json).c_str(),
+              MedianAndRange(all, &Measurements::moves, json).c_str(),
+              MedianAndRange(all, &Measurements::roll_out, json).c_str(),
+              MedianAndRange(all, &Measurements::unmet, json).c_str());
 }
 
 void RunAll(bool json) {
@@ -241,9 +246,9 @@
     for (Duration period : {Seconds(60), Seconds(240)}) {
       for (const Variant& variant : Variants(period)) {
         // The baseline's wave does not depend on the period.
-        if (variant.naive_wave && period == Seconds(60))
+        if (variant.one_host_at_a_time && period == Seconds(60))
           continue;
-        std::vector<Figures> all;
+        std::vector<Measurements> all;
         for (uint64_t seed = 1; seed <= 3; ++seed)
           all.push_back(BenchRun(site, variant, period, seed).Run());
         Print(site, variant, period, all, json);
@@ -276,7 +281,7 @@
       std::chrono::steady_clock::now() - start;
   std::printf(json ? "{\"design_size_hosts\":%zu,\"tick_ms\":%.3f}\n"
                    : "design size: %zu hosts, one decision %.2f ms\n",
-              sim.truth()->hosts.size(), spent.count() / 200);
+              sim.committed_state()->hosts.size(), spent.count() / 200);
 }
 
 }  // namespace
--- a/radishmoor/fleet/testing/fleet_sim.h
+++ b/radishmoor/fleet/testing/fleet_sim.h
@@ -55,7 +55,7 @@
 
 class FleetSim {
  public:
-  struct Proc {
+  struct ControlProcess {
     MemberId id;
     ZoneId zone;
     std::unique_ptr<Controller> controller;
@@ -63,16 +63,16 @@
     bool alive = true;
     Time paused_until{};
     Time next_poll{};
-    Time renewed{};
+    Time renewed_at{};
     RowVersion member_row = 0;
     std::map<PoolId, RowVersion> leases;
-    std::map<std::string, std::pair<RowVersion, Time>> seen;
+    std::map<std::string, std::pair<RowVersion, Time>> row_changes;
   };
 
-  struct Entry {
+  struct EntryProcess {
     MemberView row;  // As it would be written now.
     bool alive = true;
-    bool dirty = true;
+    bool row_changed = true;
     Time paused_until{};
     Time next_poll{};
     Time next_renewal{};
@@ -85,7 +85,7 @@
       : options_(std::move(options)), random_(options_.seed) {
     options_.control.gate.max_request_time = options_.max_request_time;
     options_.control.retirement.max_request_time = options_.max_request_time;
-    Build();
+    BuildSite();
   }
 
   // Runs until `end`. Faults start only before `faults_end`.
@@ -98,18 +98,19 @@
       }
       if (now_ < faults_end)
         InjectFaults();
-      for (Entry& entry : entries)
-        StepEntry(entry);
-      for (Proc& proc : procs)
-        StepProc(proc);
+      for (EntryProcess& entry : entries)
+        StepEntryProcess(entry);
+      for (ControlProcess& proc : procs)
+        StepControlProcess(proc);
       if (on_step)
         on_step();
     }
   }
 
   // A change by an operator, committed at once.
-  void Operate(const std::function<void(FleetState*, ConfigDelta*)>& edit) {
-    FleetState next = *truth();
+  void CommitOperatorChange(
+      const std::function<void(FleetState*, ConfigDelta*)>& edit) {
+    FleetState next = *committed_state();
     ConfigDelta delta;
     delta.version = next.version + 1;
     delta.operation = {random_.Next() | 1};
@@ -119,94 +120,94 @@
     t.writes.push_back({kConfigHeadKey, EncodeHead({delta.version, 0})});
     t.writes.push_back({ConfigDeltaKey(delta.version), EncodeDelta(delta)});
     table.Handle(CommitRows{t});
-    FollowLog();
+    ApplyCommittedDeltas();
   }
   void SetRound(const std::string& round) {
-    Operate([&](FleetState* state, ConfigDelta* delta) {
+    CommitOperatorChange([&](FleetState* state, ConfigDelta* delta) {
       delta->rules = state->rules;
       delta->rules.maintenance = round;
       delta->rules_changed = true;
     });
   }
   void EditHost(const HostId& id, const std::function<void(HostState*)>& edit) {
-    Operate([&](FleetState* state, ConfigDelta* delta) {
+    CommitOperatorChange([&](FleetState* state, ConfigDelta* delta) {
       edit(&state->hosts[id]);
       delta->hosts.push_back(state->hosts[id]);
     });
   }
   void EditPool(const PoolId& id, const std::function<void(PoolState*)>& edit) {
-    Operate([&](FleetState* state, ConfigDelta* delta) {
+    CommitOperatorChange([&](FleetState* state, ConfigDelta* delta) {
       edit(&state->pools[id]);
       delta->pools.push_back(state->pools[id]);
     });
   }
 
   void FailHost(const HostId& id, Duration time) {
-    Down& down = down_[id];
-    if (down.until <= now_)
-      down.since = now_;
-    down.until = std::max(down.until, now_ + time);
-    for (Entry& entry : entries)
+    Outage& outage = host_outages_[id];
+    if (outage.until <= now_)
+      outage.since = now_;
+    outage.until = std::max(outage.until, now_ + time);
+    for (EntryProcess& entry : entries)
       entry.in_flight.erase(id);
   }
   void FailRack(const RackId& rack, Duration time) {
-    for (const auto& [id, host] : truth()->hosts) {
+    for (const auto& [id, host] : committed_state()->hosts) {
       if (host.rack == rack)
         FailHost(id, time);
     }
   }
   void Partition(const ZoneId& zone, Duration time) {
-    Down& down = partition_[zone];
-    if (down.until <= now_)
-      down.since = now_;
-    down.until = std::max(down.until, now_ + time);
+    Outage& outage = zone_partitions_[zone];
+    if (outage.until <= now_)
+      outage.since = now_;
+    outage.until = std::max(outage.until, now_ + time);
   }
-  void KillProc(Proc& proc, Duration time) {
+  void KillControlProcess(ControlProcess& proc, Duration time) {
     proc.alive = false;
     proc.controller.reset();
     uint64_t generation = ++proc.generation;
-    At(time, [this, &proc, generation] {
+    Schedule(time, [this, &proc, generation] {
       if (proc.generation == generation)
-        StartProc(proc);
+        StartControlProcess(proc);
     });
   }
   // The host list shows the end after a lag. `replaced` gives the entry host a
   // new instance; otherwise only the process starts again.
-  void KillEntry(Entry& entry, Duration time, bool replaced) {
+  void KillEntryProcess(EntryProcess& entry, Duration time, bool replaced) {
     entry.alive = false;
     entry.in_flight.clear();
     if (replaced) {
       std::string host = entry.row.host;
       uint64_t instance = entry.row.host_instance;
-      At(Seconds(20), [this, host, instance] {
+      Schedule(Seconds(20), [this, host, instance] {
         host_list_.push_back({host, HostListState::kTerminated, instance});
       });
     }
-    At(time, [this, &entry, replaced] {
+    Schedule(time, [this, &entry, replaced] {
       entry.alive = true;
       entry.row.incarnation.value++;
       entry.row.host_instance += replaced ? 1 : 0;
       entry.view = nullptr;
       entry.row.version_in_force = 0;
-      entry.dirty = true;
+      entry.row_changed = true;
     });
   }
 
-  void At(Duration delay, std::function<void()> action) {
+  void Schedule(Duration delay, std::function<void()> action) {
     queue_.emplace(now_ + delay, std::move(action));
   }
 
   Time now() const { return now_; }
-  const std::shared_ptr<const FleetState>& truth() const {
+  const std::shared_ptr<const FleetState>& committed_state() const {
     return history_.back();
   }
   bool IsDown(const HostId& id) const {
-    auto it = down_.find(id);
-    return it != down_.end() && it->second.until > now_;
+    auto it = host_outages_.find(id);
+    return it != host_outages_.end() && it->second.until > now_;
   }
   uint32_t InFlight(const HostId& id) const {
     uint32_t count = 0;
-    for (const Entry& entry : entries) {
+    for (const EntryProcess& entry : entries) {
       auto it = entry.in_flight.find(id);
       if (it == entry.in_flight.end())
         continue;
@@ -218,7 +219,7 @@
   // Hosts of the pool that could serve now.
   uint32_t Serving(const PoolId& pool) const {
     uint32_t count = 0;
-    for (const auto& [id, host] : truth()->hosts) {
+    for (const auto& [id, host] : committed_state()->hosts) {
       count +=
           host.pool == pool && host.phase == HostPhase::kActive && !IsDown(id)
               ? 1
@@ -227,8 +228,8 @@
     return count;
   }
 
-  std::vector<Proc> procs;
-  std::vector<Entry> entries;
+  std::vector<ControlProcess> procs;
+  std::vector<EntryProcess> entries;
   MemoryTable table;
   std::vector<std::string> violations;
   std::vector<WaveReport> reports;
@@ -236,10 +237,10 @@
   std::vector<PoolLoad> loads;
   std::function<void()> on_step;
   // Replaces the store's reply to a commit when set; for scripted tests.
-  std::function<bool(Proc&, const StoreCall&)> intercept;
+  std::function<bool(ControlProcess&, const StoreCall&)> intercept;
   // Kills the process at this action, counted over all; 0: never.
-  uint64_t kill_at = 0;
-  bool kill_after = false;
+  uint64_t kill_at_action = 0;
+  bool kill_after_action = false;
   uint64_t actions = 0;
   uint64_t sends = 0;
   uint64_t drains = 0;
@@ -248,7 +249,7 @@
   bool store_up = true;
 
  private:
-  struct Down {
+  struct Outage {
     Time since{};
     Time until{};
   };
@@ -259,7 +260,7 @@
     HostEpoch epoch = 0;
   };
 
-  void Build() {
+  void BuildSite() {
     FleetState state;
     ConfigDelta delta;
     delta.version = 1;
@@ -290,9 +291,9 @@
     t.writes.push_back({kConfigHeadKey, EncodeHead({1, 0})});
     t.writes.push_back({ConfigDeltaKey(1), EncodeDelta(delta)});
     table.Handle(CommitRows{t});
-    FollowLog();
+    ApplyCommittedDeltas();
     for (int i = 0; i < options_.zones * options_.entries_per_zone; ++i) {
-      Entry entry;
+      EntryProcess entry;
       entry.row.id = MemberId("e" + std::to_string(i));
       entry.row.incarnation = {1};
       entry.row.zone = ZoneId("z" + std::to_string(i % options_.zones));
@@ -304,24 +305,25 @@
     for (int i = 0; i < options_.controllers; ++i) {
       procs[i].id = MemberId("c" + std::to_string(i));
       procs[i].zone = ZoneId("z" + std::to_string(i % options_.zones));
-      StartProc(procs[i]);
+      StartControlProcess(procs[i]);
     }
   }
 
-  void StartProc(Proc& proc) {
+  void StartControlProcess(ControlProcess& proc) {
     ++proc.generation;
     proc.alive = true;
     proc.member_row = 0;
     proc.leases.clear();
-    proc.seen.clear();
-    proc.renewed = Time{} - Seconds(100);
+    proc.row_changes.clear();
+    proc.renewed_at = Time{} - Seconds(100);
     proc.controller =
         std::make_unique<Controller>(options_.control, proc.id, random_.Next());
   }
 
   bool Reachable(const ZoneId& zone) const {
-    auto it = partition_.find(zone);
-    return store_up && (it == partition_.end() || it->second.until <= now_);
+    auto it = zone_partitions_.find(zone);
+    return store_up &&
+           (it == zone_partitions_.end() || it->second.until <= now_);
   }
 
   void InjectFaults() {
@@ -331,18 +333,19 @@
     const SimFaults& f = options_.faults;
     if (happens(f.store_down, 120) && store_up) {
       store_up = false;
-      At(random_.Exponential(Seconds(25)), [this] { store_up = true; });
+      Schedule(random_.Exponential(Seconds(25)), [this] { store_up = true; });
     }
-    Proc& proc = procs[random_.Below(procs.size())];
-    Entry& entry = entries[random_.Below(entries.size())];
+    ControlProcess& proc = procs[random_.Below(procs.size())];
+    EntryProcess& entry = entries[random_.Below(entries.size())];
     if (happens(f.pauses, 60))
       proc.paused_until = now_ + random_.Exponential(Seconds(60));
     if (happens(f.pauses, 60))
       entry.paused_until = now_ + random_.Exponential(Seconds(60));
     if (happens(f.kills, 60) && proc.alive)
-      KillProc(proc, random_.Exponential(Seconds(20)));
+      KillControlProcess(proc, random_.Exponential(Seconds(20)));
     if (happens(f.kills, 60) && entry.alive)
-      KillEntry(entry, random_.Exponential(Seconds(40)), random_.Chance(0.5));
+      KillEntryProcess(entry, random_.Exponential(Seconds(40)),
+                       random_.Chance(0.5));
     const HostState& host = RandomHost();
     if (happens(f.partitions, 120))
       Partition(host.zone, random_.Exponential(Seconds(60)));
@@ -353,8 +356,8 @@
   }
 
   const HostState& RandomHost() {
-    auto it = truth()->hosts.begin();
-    std::advance(it, random_.Below(truth()->hosts.size()));
+    auto it = committed_state()->hosts.begin();
+    std::advance(it, random_.Below(committed_state()->hosts.size()));
     return it->second;
   }
 
@@ -382,27 +385,28 @@
 
   // Entry processes.
 
-  void StepEntry(Entry& entry) {
+  void StepEntryProcess(EntryProcess& entry) {
     for (auto& [id, ends] : entry.in_flight)
       std::erase_if(ends, [&](Time end) { return end <= now_; });
     if (!entry.alive || now_ < entry.paused_until)
       return;
     bool reachable = Reachable(entry.row.zone);
     std::vector<HostId> busy = Busy(entry);
-    entry.dirty |= busy != entry.row.busy;
-    if (reachable && (entry.dirty || now_ >= entry.next_renewal)) {
+    entry.row_changed |= busy != entry.row.busy;
+    if (reachable && (entry.row_changed || now_ >= entry.next_renewal)) {
       entry.row.busy = std::move(busy);
       WriteRow("member/" + entry.row.id.str(), entry.row);
-      entry.dirty = false;
+      entry.row_changed = false;
       entry.next_renewal = now_ + Seconds(3);
     }
     // A view counts only when its read was sent after the registration.
-    if (reachable && now_ >= entry.next_poll && !entry.dirty) {
+    if (reachable && now_ >= entry.next_poll && !entry.row_changed) {
       entry.next_poll = now_ + Seconds(1);
-      entry.view = truth();
+      entry.view = committed_state();
       entry.view_sent = now_;
-      entry.dirty = entry.row.version_in_force != truth()->version;
-      entry.row.version_in_force = truth()->version;
+      entry.row_changed =
+          entry.row.version_in_force != committed_state()->version;
+      entry.row.version_in_force = committed_state()->version;
     }
     if (!entry.view || entry.view->hosts.empty())
       return;
@@ -412,7 +416,7 @@
     }
   }
 
-  std::vector<HostId> Busy(const Entry& entry) const {
+  std::vector<HostId> Busy(const EntryProcess& entry) const {
     std::vector<HostId> busy;
     for (const auto& [id, ends] : entry.in_flight) {
       const HostState* host = entry.view ? entry.view->FindHost(id) : nullptr;
@@ -422,7 +426,7 @@
     return busy;
   }
 
-  void TrySend(Entry& entry) {
+  void TrySend(EntryProcess& entry) {
     auto it = entry.view->hosts.begin();
     std::advance(it, random_.Below(entry.view->hosts.size()));
     const HostState& host = it->second;
@@ -431,12 +435,13 @@
     if (host.phase != HostPhase::kActive || !permitted)
       return;
     ++sends;
-    const HostState* real = truth()->FindHost(host.id);
-    bool open = real && (real->phase == HostPhase::kActive ||
-                         real->phase == HostPhase::kDraining);
-    Check(open, "send to host that is not in service " + host.id.str());
-    Check(!real || real->epoch == host.epoch,
-          "send under an old epoch " + host.id.str());
+    const HostState* committed = committed_state()->FindHost(host.id);
+    bool open = committed && (committed->phase == HostPhase::kActive ||
+                              committed->phase == HostPhase::kDraining);
+    RecordViolationUnless(
+        open, "send to host that is not in service " + host.id.str());
+    RecordViolationUnless(!committed || committed->epoch == host.epoch,
+                          "send under an old epoch " + host.id.str());
     if (IsDown(host.id))
       return;
     Duration time = random_.Chance(0.03)
@@ -456,40 +461,41 @@
 
   // Control processes.
 
-  void StepProc(Proc& proc) {
+  void StepControlProcess(ControlProcess& proc) {
     if (!proc.alive || now_ < proc.paused_until)
       return;
     ConfigVersion before = proc.controller->state().version;
     if (now_ >= proc.next_poll)
-      Poll(proc);
+      ReadInputs(proc);
     if (proc.alive)
       Perform(proc, proc.controller->Tick(now_));
-    Check(!proc.alive || proc.controller->state().version >= before,
-          "controller's version went back");
+    RecordViolationUnless(
+        !proc.alive || proc.controller->state().version >= before,
+        "controller's version went back");
   }
 
-  void Poll(Proc& proc) {
+  void ReadInputs(ControlProcess& proc) {
     proc.next_poll = now_ + Seconds(1);
     uint64_t generation = proc.generation;
-    auto give = [&](auto&& method, auto&&... args) {
+    auto pass = [&](auto&& method, auto&&... args) {
       if (proc.generation == generation)
         Perform(proc, ((*proc.controller).*method)(now_, args...));
     };
-    give(&Controller::SetHealth, Observations());
-    give(&Controller::SetLoads, loads);
+    pass(&Controller::SetHealth, Observations());
+    pass(&Controller::SetLoads, loads);
     if (!Reachable(proc.zone))
       return;
-    if (now_ - proc.renewed >= Seconds(3)) {
+    if (now_ - proc.renewed_at >= Seconds(3)) {
       MemberView row;
       row.id = proc.id;
       row.role = MemberRole::kControl;
       WriteRow("member/" + proc.id.str(), row);
       proc.member_row = RowOf("member/" + proc.id.str()).version;
-      proc.renewed = now_;
+      proc.renewed_at = now_;
     }
     MemberList list{now_, {}};
     for (const Row& row : Scan("member/")) {
-      auto& [version, changed] = proc.seen[row.key];
+      auto& [version, changed] = proc.row_changes[row.key];
       if (version != row.version) {
         version = row.version;
         changed = now_;
@@ -497,28 +503,29 @@
       list.members.push_back(row_contents_[std::stoul(row.value)]);
       list.members.back().last_change = changed;
     }
-    TakeLeases(proc);
-    give(&Controller::SetLeases, HeldLeases(proc));
-    give(&Controller::SetConfig, *truth(), HeadRowVersion(), ConfigVersion{0});
-    give(&Controller::SetMembers, list);
+    AcquireLeases(proc);
+    pass(&Controller::SetLeases, HeldLeases(proc));
+    pass(&Controller::SetConfig, *committed_state(), HeadRowVersion(),
+         ConfigVersion{0});
+    pass(&Controller::SetMembers, list);
     // The list lags in both directions: sometimes an older prefix is shown.
     std::vector<HostListEntry> hosts = host_list_;
     if (!hosts.empty() && random_.Chance(0.5))
       hosts.pop_back();
-    give(&Controller::SetHostList, hosts);
+    pass(&Controller::SetHostList, hosts);
   }
 
-  void TakeLeases(Proc& proc) {
+  void AcquireLeases(ControlProcess& proc) {
     proc.leases.clear();
     size_t position = 0;
-    for (const auto& [id, pool] : truth()->pools) {
+    for (const auto& [id, pool] : committed_state()->pools) {
       std::string key = "lease/" + id.str();
       Row row = RowOf(key);
       std::string holder = "member/" + row.value;
       bool preferred = &procs[position++ % procs.size()] == &proc;
       bool silent = row.version == 0
                         ? preferred || now_ > kTimeZero + Seconds(30)
-                        : now_ - proc.seen[holder].second > Seconds(12);
+                        : now_ - proc.row_changes[holder].second > Seconds(12);
       if (row.value != proc.id.str() && silent) {
         Transaction t{{random_.Next()}, {{key, row.version}}, {}};
         t.writes.push_back({key, proc.id.str()});
@@ -530,11 +537,11 @@
     }
   }
 
-  std::vector<PoolLease> HeldLeases(const Proc& proc) const {
+  std::vector<PoolLease> HeldLeases(const ControlProcess& proc) const {
     std::vector<PoolLease> leases;
     for (const auto& [pool, version] : proc.leases) {
       leases.push_back({pool,
-                        proc.renewed + Seconds(10),
+                        proc.renewed_at + Seconds(10),
                         {{"lease/" + pool.str(), version},
                          {"member/" + proc.id.str(), proc.member_row}}});
     }
@@ -543,9 +550,9 @@
 
   std::vector<HostObservation> Observations() {
     std::vector<HostObservation> result;
-    for (const auto& [id, host] : truth()->hosts) {
-      auto cut = partition_.find(host.zone);
-      if (cut != partition_.end() && cut->second.until > now_)
+    for (const auto& [id, host] : committed_state()->hosts) {
+      auto cut = zone_partitions_.find(host.zone);
+      if (cut != zone_partitions_.end() && cut->second.until > now_)
         continue;
       HostObservation o;
       o.host = id;
@@ -558,7 +565,7 @@
     return result;
   }
 
-  void Perform(Proc& proc, std::vector<FleetAction> list) {
+  void Perform(ControlProcess& proc, std::vector<FleetAction> list) {
     for (FleetAction& action : list) {
       if (auto* event = std::get_if<TimelineEvent>(&action)) {
         events.push_back(*event);
@@ -568,17 +575,17 @@
         reports.push_back(*report);
         continue;
       }
-      bool kill = ++actions == kill_at;
-      if (!kill || kill_after)
-        PerformOne(proc, action);
+      bool kill = ++actions == kill_at_action;
+      if (!kill || kill_after_action)
+        PerformAction(proc, action);
       if (kill) {
-        KillProc(proc, Seconds(5));
+        KillControlProcess(proc, Seconds(5));
         return;
       }
     }
   }
 
-  void PerformOne(Proc& proc, const FleetAction& action) {
+  void PerformAction(ControlProcess& proc, const FleetAction& action) {
     if (const auto* call = std::get_if<StoreCall>(&action)) {
       if (!intercept || !intercept(proc, *call))
         CallStore(proc, *call);
@@ -588,15 +595,18 @@
     if (options_.faults.platform_drops && now_ < kFaultsUntil)
       copies = static_cast<int>(random_.Below(3));
     for (int i = 0; i < copies; ++i) {
-      At(random_.Between(Milliseconds(100), Milliseconds(900)),
-         [this, &proc, action] { Platform(proc, action); });
+      Schedule(random_.Between(Milliseconds(100), Milliseconds(900)),
+               [this, &proc, action] { PerformPlatformAction(proc, action); });
     }
   }
 
  public:
-  void Answer(Proc& proc, uint64_t tag, StoreReply reply, Duration delay) {
+  void Answer(ControlProcess& proc,
+              uint64_t tag,
+              StoreReply reply,
+              Duration delay) {
     uint64_t generation = proc.generation;
-    At(delay, [this, &proc, generation, tag, reply] {
+    Schedule(delay, [this, &proc, generation, tag, reply] {
       if (proc.generation != generation)
         return;
       if (now_ < proc.paused_until)
@@ -606,14 +616,14 @@
   }
   StoreReply Apply(const StoreRequest& request) {
     StoreReply reply = table.Handle(request);
-    FollowLog();
+    ApplyCommittedDeltas();
     return reply;
   }
 
  private:
   static constexpr Time kFaultsUntil = kTimeZero + Seconds(600);
 
-  void CallStore(Proc& proc, const StoreCall& call) {
+  void CallStore(ControlProcess& proc, const StoreCall& call) {
     if (!Reachable(proc.zone))
       return Answer(proc, call.tag, UnavailableReply{}, Milliseconds(50));
     bool lose = options_.faults.lost_answers && now_ < kFaultsUntil;
@@ -623,8 +633,8 @@
       return Answer(proc, call.tag, UnknownReply{}, Seconds(1));
     }
     if (draw < 0.2) {  // Takes effect after the answer was given up.
-      At(random_.Between(Seconds(1), Seconds(20)),
-         [this, call] { Apply(call.request); });
+      Schedule(random_.Between(Seconds(1), Seconds(20)),
+               [this, call] { Apply(call.request); });
       return Answer(proc, call.tag, UnknownReply{}, Seconds(1));
     }
     if (draw < 0.3)  // Never takes effect.
@@ -632,7 +642,7 @@
     if (!options_.faults.store_slow || now_ >= kFaultsUntil)
       return Answer(proc, call.tag, Apply(call.request), Milliseconds(5));
     uint64_t generation = proc.generation;
-    At(random_.Exponential(Seconds(2)), [this, &proc, generation, call] {
+    Schedule(random_.Exponential(Seconds(2)), [this, &proc, generation, call] {
       StoreReply reply = Apply(call.request);
       if (proc.generation == generation)
         Answer(proc, call.tag, reply, random_.Exponential(Seconds(2)));
@@ -641,22 +651,23 @@
 
   // The platform.
 
-  void Platform(Proc& proc, const FleetAction& action) {
+  void PerformPlatformAction(ControlProcess& proc, const FleetAction& action) {
     if (const auto* a = std::get_if<CheckpointTasks>(&action)) {
       ConfigVersion& key = platform_[a->host].checkpoint_key;
       key = std::max(key, a->key);
-      return Result(proc,
-                    {a->host, PlatformResultKind::kTasksCheckpointed, a->key});
+      return SendPlatformResult(
+          proc, {a->host, PlatformResultKind::kTasksCheckpointed, a->key});
     }
     if (const auto* a = std::get_if<AdmitHost>(&action)) {
       PlatformHost& host = platform_[a->host];
       host.epoch = std::max(host.epoch, a->key);
-      return Result(proc, {a->host, PlatformResultKind::kAdmitted, a->key});
+      return SendPlatformResult(
+          proc, {a->host, PlatformResultKind::kAdmitted, a->key});
     }
     Reboot(proc, std::get<RebootHost>(action));
   }
 
-  void Reboot(Proc& proc, const RebootHost& action) {
+  void Reboot(ControlProcess& proc, const RebootHost& action) {
     PlatformHost& host = platform_[action.host];
     PlatformResult done{action.host, PlatformResultKind::kRebootFinished,
                         action.key};
@@ -664,34 +675,35 @@
       return;
     if (action.key == host.reboot_key) {
       if (host.done)
-        Result(proc, done);
+        SendPlatformResult(proc, done);
       return;
     }
-    const HostState* real = truth()->FindHost(action.host);
-    Check(real && real->phase == HostPhase::kRebooting &&
-              real->drain_version == action.key,
-          "reboot without reservation " + action.host.str());
-    Check(InFlight(action.host) == 0,
-          "reboot with live work " + action.host.str());
-    Check(reboots_.insert({action.host, action.key}).second,
-          "two reboots for one reservation");
+    const HostState* committed = committed_state()->FindHost(action.host);
+    RecordViolationUnless(committed &&
+                              committed->phase == HostPhase::kRebooting &&
+                              committed->drain_version == action.key,
+                          "reboot without reservation " + action.host.str());
+    RecordViolationUnless(InFlight(action.host) == 0,
+                          "reboot with live work " + action.host.str());
+    RecordViolationUnless(reboots_.insert({action.host, action.key}).second,
+                          "two reboots for one reservation");
     ++reboots[action.host];
     host = {host.checkpoint_key, action.key, false, host.epoch};
     Duration time = options_.reboot_time;
     bool fails = options_.faults.reboots_fail && random_.Chance(0.2);
     FailHost(action.host, fails ? time + Seconds(90) : time);
-    At(time, [this, &proc, done] {
+    Schedule(time, [this, &proc, done] {
       platform_[done.host].done = true;
-      Result(proc, done);
+      SendPlatformResult(proc, done);
     });
   }
 
-  void Result(Proc& proc, PlatformResult result) {
+  void SendPlatformResult(ControlProcess& proc, PlatformResult result) {
     if (!proc.alive)
       return;
     uint64_t generation = proc.generation;
     Duration wait = std::max(proc.paused_until - now_, Milliseconds(10));
-    At(wait, [this, &proc, generation, result] {
+    Schedule(wait, [this, &proc, generation, result] {
       if (proc.generation == generation && proc.alive)
         Perform(proc, proc.controller->Handle(now_, result));
     });
@@ -707,16 +719,17 @@
   }
   RowVersion HeadRowVersion() { return RowOf(kConfigHeadKey).version; }
 
-  void FollowLog() {
+  void ApplyCommittedDeltas() {
     ConfigHead head = DecodeHead(RowOf(kConfigHeadKey).value);
-    while (truth()->version < head.version) {
-      ConfigDelta delta =
-          DecodeDelta(RowOf(ConfigDeltaKey(truth()->version + 1)).value);
-      auto next = std::make_shared<FleetState>(*truth());
+    while (committed_state()->version < head.version) {
+      ConfigDelta delta = DecodeDelta(
+          RowOf(ConfigDeltaKey(committed_state()->version + 1)).value);
+      auto next = std::make_shared<FleetState>(*committed_state());
       next->Apply(delta);
-      Check(operations_.insert(delta.operation).second, "operation repeated");
+      RecordViolationUnless(operations_.insert(delta.operation).second,
+                            "operation repeated");
       if (delta.author != "operator" && delta.version > 1)
-        CheckChange(*truth(), *next, delta);
+        CheckChange(*committed_state(), *next, delta);
       history_.push_back(std::move(next));
     }
   }
@@ -729,23 +742,28 @@
       const std::string& name = host.id.str();
       if (host.phase == HostPhase::kDraining) {
         ++drains;
-        Check(old.phase == HostPhase::kActive, "drain of a drained host");
+        RecordViolationUnless(old.phase == HostPhase::kActive,
+                              "drain of a drained host");
         CheckBudget(after, host.pool);
       }
       if (old.phase == HostPhase::kDraining &&
           host.phase == HostPhase::kDrained) {
-        Check(platform_[host.id].checkpoint_key == old.drain_version,
-              "drained before the checkpoint of tasks " + name);
+        RecordViolationUnless(
+            platform_[host.id].checkpoint_key == old.drain_version,
+            "drained before the checkpoint of tasks " + name);
       }
       if (host.phase == HostPhase::kDrained)
-        Check(InFlight(host.id) == 0, "drained with work in flight " + name);
+        RecordViolationUnless(InFlight(host.id) == 0,
+                              "drained with work in flight " + name);
       if (host.pool != old.pool) {
-        Check(old.phase == HostPhase::kDrained && host.epoch == old.epoch + 1,
-              "pool changed in service " + name);
+        RecordViolationUnless(
+            old.phase == HostPhase::kDrained && host.epoch == old.epoch + 1,
+            "pool changed in service " + name);
       }
       if (host.phase == HostPhase::kActive &&
           old.phase == HostPhase::kDrained) {
-        Check(platform_[host.id].epoch == host.epoch, "not admitted " + name);
+        RecordViolationUnless(platform_[host.id].epoch == host.epoch,
+                              "not admitted " + name);
       }
     }
   }
@@ -758,24 +776,27 @@
     uint32_t out = 0;
     for (const auto& [id, host] : state.hosts) {
       if (host.pool != pool || host.phase == HostPhase::kRetired ||
-          IsNewcomer(host)) {
+          IsNewInPool(host)) {
         continue;
       }
-      bool lost = Old(down_, id) || Old(partition_, host.zone);
+      bool lost = LostForOverOneMinute(host_outages_, id) ||
+                  LostForOverOneMinute(zone_partitions_, host.zone);
       out += host.phase != HostPhase::kActive || lost ? 1 : 0;
     }
     uint32_t limit = rules.closed ? UINT32_MAX : rules.max_unavailable;
-    Check(out <= limit, "budget of " + pool.str() + " exceeded");
+    RecordViolationUnless(out <= limit,
+                          "budget of " + pool.str() + " exceeded");
   }
 
   template <typename Key>
-  bool Old(const std::map<Key, Down>& map, const Key& key) const {
+  bool LostForOverOneMinute(const std::map<Key, Outage>& map,
+                            const Key& key) const {
     auto it = map.find(key);
     return it != map.end() && it->second.until > now_ &&
            now_ - it->second.since > Seconds(60);
   }
 
-  void Check(bool holds, const std::string& what) {
+  void RecordViolationUnless(bool holds, const std::string& what) {
     if (!holds)
       violations.push_back(std::to_string(ToSeconds(now_ - kTimeZero)) + " " +
                            what);
@@ -788,8 +809,8 @@
   std::vector<std::shared_ptr<const FleetState>> history_;
   std::vector<MemberView> row_contents_;
   std::vector<HostListEntry> host_list_;
-  std::map<HostId, Down> down_;
-  std::map<ZoneId, Down> partition_;
+  std::map<HostId, Outage> host_outages_;
+  std::map<ZoneId, Outage> zone_partitions_;
   std::map<HostId, PlatformHost> platform_;
   std::set<std::pair<HostId, ConfigVersion>> reboots_;
   std::set<OperationId> operations_;
--- a/radishmoor/fleet/wave.cc
+++ b/radishmoor/fleet/wave.cc
@@ -13,7 +13,7 @@
 }
 
 // Serves again: the soak of the canary counts from there.
-bool Completed(const FleetState& state, const HostState& host) {
+bool HasCompletedRound(const FleetState& state, const HostState& host) {
   return !state.rules.maintenance.empty() &&
          host.maintained == state.rules.maintenance &&
          host.phase == HostPhase::kActive;
@@ -63,7 +63,7 @@
 bool InMaintenance(const FleetState& state, const HostState& host) {
   if (host.phase == HostPhase::kRebooting)
     return true;
-  if (host.phase == HostPhase::kActive || IsNewcomer(host))
+  if (host.phase == HostPhase::kActive || IsNewInPool(host))
     return false;
   // After its reboot a host keeps its place until it serves again. Otherwise a
   // second canary could start between the two.
@@ -120,27 +120,27 @@
   return soon;
 }
 
-void Wave::StartRound(Time now, const FleetState& state) {
+void Wave::BeginRound(Time now, const FleetState& state) {
   round_ = state.rules.maintenance;
-  started_ = now;
+  round_started_at_ = now;
   report_ = {.round = round_};
   paused_ = false;
-  calm_since_ = now;
+  failures_below_limit_since_ = now;
   completed_at_.clear();
   reboot_failed_.clear();
   bool any_due = false;
   for (const auto& [id, host] : state.hosts) {
     any_due |= IsDue(state, host);
-    bool touched = !round_.empty() && host.maintained == round_;
-    report_.partial |= touched;
+    bool already_maintained = !round_.empty() && host.maintained == round_;
+    report_.partial |= already_maintained;
   }
   // A round that was complete when first seen was reported by another process.
-  finished_ = round_.empty() || !any_due;
+  round_finished_ = round_.empty() || !any_due;
 }
 
-void Wave::FollowHosts(Time now, const FleetState& state) {
+void Wave::ObserveHosts(Time now, const FleetState& state) {
   for (const auto& [id, host] : state.hosts) {
-    if (Completed(state, host))
+    if (HasCompletedRound(state, host))
       completed_at_.emplace(id, now);
     if (host.phase == HostPhase::kRebooting) {
       rebooting_since_.emplace(id, now);
@@ -151,9 +151,9 @@
   }
 }
 
-uint32_t Wave::Failures(Time now,
-                        const FleetState& state,
-                        const HealthView& health) const {
+uint32_t Wave::CountFailures(Time now,
+                             const FleetState& state,
+                             const HealthView& health) const {
   uint32_t failures = 0;
   for (const auto& [id, since] : rebooting_since_) {
     if (reboot_failed_.contains(id) || now - since > options_.reboot_timeout)
@@ -164,7 +164,7 @@
     // A partition makes every host of a zone unreachable, whether rebooted or
     // not, so it says nothing about the round.
     if (!host || now - at > options_.probation ||
-        health.Partitioned(host->zone)) {
+        health.IsPartitioned(host->zone)) {
       continue;
     }
     HostHealth seen = health.HealthOf(now, *host);
@@ -179,7 +179,7 @@
                        uint32_t limit,
                        std::vector<FleetAction>* actions) {
   if (failures >= limit) {
-    calm_since_ = now;
+    failures_below_limit_since_ = now;
     if (paused_)
       return;
     paused_ = true;
@@ -190,7 +190,7 @@
     actions->push_back(event);
     return;
   }
-  if (!paused_ || now - calm_since_ < options_.resume_after)
+  if (!paused_ || now - failures_below_limit_since_ < options_.resume_after)
     return;
   paused_ = false;
   TimelineEvent event;
@@ -205,18 +205,18 @@
                                        const BudgetTable& budgets) {
   std::vector<FleetAction> actions;
   if (state.rules.maintenance != round_) {
-    StartRound(now, state);
-    if (!finished_) {
+    BeginRound(now, state);
+    if (!round_finished_) {
       actions.emplace_back(
           WaveEvent(EventKind::kWaveStarted, state, "round=" + round_));
     }
   }
-  FollowHosts(now, state);
+  ObserveHosts(now, state);
   // Before the canary passed, its failure alone pauses the wave.
   uint32_t limit =
       CanaryPassed(now, state, health) ? options_.pause_failures : 1;
-  UpdatePause(now, Failures(now, state, health), limit, &actions);
-  if (finished_)
+  UpdatePause(now, CountFailures(now, state, health), limit, &actions);
+  if (round_finished_)
     return actions;
   for (const auto& [id, pool] : state.pools) {
     uint32_t& used = report_.budget_used[id];
@@ -226,8 +226,8 @@
     if (IsDue(state, host) || host.phase == HostPhase::kRebooting)
       return actions;
   }
-  finished_ = true;
-  report_.roll_out = now - started_;
+  round_finished_ = true;
+  report_.roll_out = now - round_started_at_;
   actions.emplace_back(report_);
   actions.emplace_back(
       WaveEvent(EventKind::kWaveFinished, state, "round=" + round_));
@@ -256,7 +256,8 @@
                         const HealthView& health) const {
   for (const auto& [id, at] : completed_at_) {
     const HostState* host = state.FindHost(id);
-    if (host && now - at >= options_.canary_soak && health.Healthy(now, *host))
+    if (host && now - at >= options_.canary_soak &&
+        health.IsHealthy(now, *host))
       return true;
   }
   return false;
@@ -278,7 +279,7 @@
     // A drain that cannot be acknowledged may last as long as a partition.
     // Counting it would stop the wave in all other zones.
     if (host.phase == HostPhase::kDraining &&
-        health.DrainWouldStall(host.zone)) {
+        health.WouldStallDrain(host.zone)) {
       continue;
     }
     usage.racks.insert(RackOf(host));
@@ -287,9 +288,9 @@
   return usage;
 }
 
-bool Wave::MayStart(const WaveUsage& usage,
-                    const FleetState& state,
-                    const HostState& host) const {
+bool Wave::MayStartDrain(const WaveUsage& usage,
+                         const FleetState& state,
+                         const HostState& host) const {
   if (paused_ || !IsDue(state, host) ||
       !BelowWaveLimit(usage.in_pool, state, host.pool)) {
     return false;
--- a/radishmoor/fleet/wave.h
+++ b/radishmoor/fleet/wave.h
@@ -77,9 +77,9 @@
 
   // The host may be drained for the round now, as far as the wave's own limits
   // go. Budgets are checked apart.
-  bool MayStart(const WaveUsage& usage,
-                const FleetState& state,
-                const HostState& host) const;
+  bool MayStartDrain(const WaveUsage& usage,
+                     const FleetState& state,
+                     const HostState& host) const;
 
   // The drained host may be rebooted now.
   bool MayReboot(const WaveUsage& usage,
@@ -97,15 +97,17 @@
   // Sums for the report.
   void CountMove() { ++report_.hosts_moved; }
   void CountReboot() { ++report_.hosts_maintained; }
-  void CountCut(uint64_t requests) { report_.requests_cut += requests; }
-  void NoteRebootFailed(const HostId& host) { reboot_failed_[host] = true; }
+  void CountInterruptedRequests(uint64_t requests) {
+    report_.requests_cut += requests;
+  }
+  void OnRebootFailed(const HostId& host) { reboot_failed_[host] = true; }
 
  private:
-  void StartRound(Time now, const FleetState& state);
-  void FollowHosts(Time now, const FleetState& state);
-  uint32_t Failures(Time now,
-                    const FleetState& state,
-                    const HealthView& health) const;
+  void BeginRound(Time now, const FleetState& state);
+  void ObserveHosts(Time now, const FleetState& state);
+  uint32_t CountFailures(Time now,
+                         const FleetState& state,
+                         const HealthView& health) const;
   void UpdatePause(Time now,
                    uint32_t failures,
                    uint32_t limit,
@@ -116,13 +118,13 @@
 
   WaveOptions options_;
   std::string round_;
-  Time started_{};
-  bool finished_ = true;
+  Time round_started_at_{};
+  bool round_finished_ = true;
   WaveReport report_;
 
   bool paused_ = false;
   uint64_t pauses_ = 0;
-  Time calm_since_{};
+  Time failures_below_limit_since_{};
   std::map<HostId, Time> completed_at_;
   std::map<HostId, Time> rebooting_since_;
   std::map<HostId, bool> reboot_failed_;
