--- a/radishmoor/control/control_core.cc
+++ b/radishmoor/control/control_core.cc
@@ -7,23 +7,28 @@
 namespace radishmoor {
 namespace {
 
-constexpr uint64_t kOwners = 8;  // At least the number of CallOwner values.
+// A tag of a store call is the owner's own tag times kOwners plus the CallOwner
+// value. At least the number of CallOwner values.
+constexpr uint64_t kOwners = 8;
 constexpr Duration kScanPeriodWhileDraining = Milliseconds(500);
 constexpr Duration kIdleScanPeriod = Seconds(5);
-// Keeps scans within a third of the 9 KB/s that a node may spend on control.
+// Keeps scans of the member rows within a third of the 9 KB/s of traffic that a
+// process may spend on control.
 constexpr int64_t kScanBytesPerSecond = 3000;
-// All members of the design size fit: a drain gate needs rows of one read,
-// since a process may move from a sponsor to a row of its own between two
-// pages.
+// Rows per page of a scan; all members of the largest planned site fit in one
+// page. The drain gate needs rows of one read, since between two pages a
+// process may move from its sponsor's row to a row of its own.
 constexpr uint32_t kScanRowLimit = 1000;
 constexpr Duration kHostListPeriod = Seconds(5);
-// One may fail without a stop of the round.
+// Number of the round's first completed hosts that every process observes. With
+// several, the round continues if one of them fails later.
 constexpr size_t kObservedCanaries = 3;
-// The whole list of 1,300 hosts takes 66 KB; read every 5 s it alone would
-// exceed what a node may spend on control.
+// Limit for reading the host list. The list of 1,300 hosts has 66 KB; reading
+// it every 5 s would alone exceed the 9 KB/s that a process may spend on
+// control.
 constexpr int64_t kHostListBytesPerSecond = 2000;
-constexpr int64_t kHostListEntryBytes = 40;  // Without the name.
-// Leases change with time as well as with events.
+constexpr int64_t kHostListEntryBytes = 40;  // Excluding the name.
+// Leases expire with time, so they are checked even without an event.
 constexpr Duration kLeaseCheckPeriod = Milliseconds(500);
 
 MemberOptions MemberOptionsOf(const ControlOptions& options) {
@@ -124,8 +129,8 @@
       HandleActions(controller_.Handle(now_, inner));
       break;
     case CallOwner::kMemberScan:
-      // After a pause, an answer to an earlier scan may come during this one;
-      // its rows are older than `read_started`.
+      // If the process was paused, the answer to an earlier scan may arrive
+      // during this one; its rows are older than `read_started`.
       if (inner.tag == scan_tag_)
         OnMemberRows(inner.reply);
       break;
@@ -171,8 +176,8 @@
     if (observed && host.phase != HostPhase::kRetired)
       hosts.push_back(&host);
   }
-  // A process that holds no lease of the canary's pool must see the canary's
-  // health too; otherwise it never starts its part of the round.
+  // A process that does not hold the lease of the canary's pool needs the
+  // canary's health as well; without it, it never starts its part of the round.
   for (const HostId& id : controller_.FirstCompleted(kObservedCanaries)) {
     const HostState* host = view_.state().FindHost(id);
     if (host && std::find(hosts.begin(), hosts.end(), host) == hosts.end())
@@ -210,7 +215,8 @@
   }
 }
 
-// Heartbeats are not sent: entry processes learn nothing from control.
+// Sends no heartbeats to peers, since entry processes need no information from
+// control processes.
 void ControlCore::HandleActions(std::vector<PeerAction> actions) {
   for (PeerAction& action : actions) {
     if (auto* call = std::get_if<StoreCall>(&action))
--- a/radishmoor/control/control_core.h
+++ b/radishmoor/control/control_core.h
@@ -1,5 +1,5 @@
-// The control process without I/O: owns configuration view, member row, leases
-// and fleet controller, and passes results between them.
+// The control process without I/O: owns the configuration view, the member row,
+// the leases and the fleet controller, and passes results between them.
 //
 //   ControlCore core(options);
 //   for (ControlAction& action : core.Tick(now, wall)) ...
@@ -7,8 +7,9 @@
 //   core.Handle(now, wall, platform_result);
 //   core.SetHealth(now, wall, observations);
 //
-// A control process learns everything from the platform: without it, it may not
-// change anything, so it needs no messages from peers.
+// A control process exchanges no messages with peers: it must not change
+// anything while the platform's table service is unreachable, and reads all its
+// inputs from there.
 
 #ifndef RADISHMOOR_CONTROL_CONTROL_CORE_H_
 #define RADISHMOOR_CONTROL_CONTROL_CORE_H_
@@ -69,11 +70,12 @@
                            std::span<const HostObservation> observations);
   Time next_wake() const;
 
-  // Gives up all leases and the member row, for a planned stop.
+  // Releases all leases and deletes the member row, for a planned stop.
   ControlActions Leave(Time now, WallMillis wall);
 
-  // Hosts whose health this process observes: those of the pools whose leases
-  // it holds, by current or wanted pool.
+  // Hosts whose health this process observes: those whose current or wanted
+  // pool it holds the lease of, and the first hosts that completed the
+  // maintenance round.
   std::vector<const HostState*> ObservedHosts(Time now) const;
 
   bool ready() const { return view_.ready() && member_.registered(); }
@@ -83,6 +85,7 @@
   const Controller& controller() const { return controller_; }
 
  private:
+  // The part of the core that made a store call and handles its answer.
   enum class CallOwner : uint64_t {
     kConfig,
     kMember,
@@ -93,6 +96,7 @@
     kHostList,
   };
 
+  // Every input starts with BeginInput() and returns TakeActions().
   void BeginInput(Time now, WallMillis wall);
   ControlActions TakeActions();
   void CallStore(CallOwner owner, StoreCall call);
@@ -125,11 +129,11 @@
   ControlActions actions_;
   RowVersion passed_head_row_ = 0;
 
-  // Scan of the member rows for the drain gate.
+  // Scan of the member rows, for the drain gate.
   Time next_scan_ = kTimeZero;
   Time scan_sent_ = kTimeZero;
   bool scanning_ = false;
-  uint64_t scan_tag_ = 0;  // Of the call whose answer the scan waits for.
+  uint64_t scan_tag_ = 0;  // Of the scan's call in flight.
   std::string scan_resume_key_;
   MemberList scanned_members_;
   size_t scan_bytes_ = 0;
--- a/radishmoor/control/testing/control_core_test.cc
+++ b/radishmoor/control/testing/control_core_test.cc
@@ -12,8 +12,9 @@
 
 constexpr WallMillis kWall = 1'780'000'000'000;
 
-// One control process over a table that answers at once, except for scans of
-// the member rows by the drain gate, which wait while `hold_scans` is set.
+// One control process with a table that answers at once, except for scans of
+// the member rows for the drain gate, which wait in `held_scans` while
+// `hold_member_scans` is set.
 class ControlCoreFixture {
  public:
   ControlCoreFixture() {
@@ -44,8 +45,8 @@
       if (call == nullptr)
         continue;
       bool scan = std::holds_alternative<ScanRows>(call->request);
-      if (hold_scans && scan && call->tag % 8 == kGateScanOwner) {
-        held.push_back(*call);
+      if (hold_member_scans && scan && call->tag % 8 == kMemberScanOwner) {
+        held_scans.push_back(*call);
         continue;
       }
       ControlActions more = core.Handle(
@@ -54,12 +55,13 @@
     }
   }
 
-  // The low bits of a tag name the part of the core that made the call.
-  static constexpr uint64_t kGateScanOwner = 5;
+  // A call's tag modulo 8 is the part of the core that made the call; 5 is the
+  // scan of member rows.
+  static constexpr uint64_t kMemberScanOwner = 5;
   Time now = kTimeZero + Seconds(100);
   MemoryTable table;
-  bool hold_scans = true;
-  std::vector<StoreCall> held;
+  bool hold_member_scans = true;
+  std::vector<StoreCall> held_scans;
   ControlCore core{{.member = MemberId("c"),
                     .zone = ZoneId("z"),
                     .incarnation = {1},
@@ -67,13 +69,13 @@
                     .admin_address = "c:3"}};
 };
 
-// Guards against a drain gate that opens on rows read before the drain: a
-// process that registered in between may still send to the host.
-TEST_CASE("the answer to an earlier scan of the members is not used") {
+// Guards against a drain gate that opens on member rows read before the drain:
+// a process that registered after that read may still send to the host.
+TEST_CASE("a late answer to an earlier scan of member rows is ignored") {
   ControlCoreFixture fixture;
   fixture.Tick();
-  REQUIRE(fixture.held.size() == 1);
-  StoreReply old_rows = fixture.table.Handle(fixture.held[0].request);
+  REQUIRE(fixture.held_scans.size() == 1);
+  StoreReply old_rows = fixture.table.Handle(fixture.held_scans[0].request);
 
   MemberRecord entry;
   entry.id = MemberId("e");
@@ -83,18 +85,18 @@
   registration.writes.push_back({"member/e", EncodeMember(entry)});
   fixture.table.Handle(CommitRows{registration});
 
-  // A pause longer than the time-out of the scan.
+  // The process is paused for longer than the timeout of the scan.
   fixture.now += Seconds(5);
   fixture.Tick();
-  REQUIRE(fixture.held.size() == 2);
-  fixture.RunActions(
-      fixture.core.Handle(fixture.now, kWall, {fixture.held[0].tag, old_rows}));
+  REQUIRE(fixture.held_scans.size() == 2);
+  fixture.RunActions(fixture.core.Handle(
+      fixture.now, kWall, {fixture.held_scans[0].tag, old_rows}));
   CHECK(
       !fixture.core.controller().CheckDrainGate(fixture.now, HostId("w")).open);
 
-  StoreReply rows = fixture.table.Handle(fixture.held[1].request);
-  fixture.RunActions(
-      fixture.core.Handle(fixture.now, kWall, {fixture.held[1].tag, rows}));
+  StoreReply rows = fixture.table.Handle(fixture.held_scans[1].request);
+  fixture.RunActions(fixture.core.Handle(fixture.now, kWall,
+                                         {fixture.held_scans[1].tag, rows}));
   DrainGateResult result =
       fixture.core.controller().CheckDrainGate(fixture.now, HostId("w"));
   CHECK(result.block == GateBlock::kLocalNotAcknowledged);
--- a/radishmoor/fleet/budget.h
+++ b/radishmoor/fleet/budget.h
@@ -4,11 +4,11 @@
 //   HealthView health(options);
 //   health.Observe(observations);
 //   BudgetTable budgets(now, state, health);
-//   if (budgets.MayMakeUnavailable(host)) ...   // commit against this very
-//   version
+//   if (budgets.MayMakeUnavailable(host)) ...  // commit the host's new phase
 //
-// The check and the reservation are one transaction: the caller commits the
-// host's new phase with `config/head` expected at the version checked here.
+// The check and the reservation form one transaction: the caller commits the
+// host's new phase with `config/head` expected at the version that was checked,
+// so the commit fails if the configuration has changed since.
 
 #ifndef RADISHMOOR_FLEET_BUDGET_H_
 #define RADISHMOOR_FLEET_BUDGET_H_
@@ -23,7 +23,8 @@
 namespace radishmoor {
 
 struct HealthOptions {
-  // An older observation counts as unknown: three reports of 3 s lost.
+  // An older observation counts as unknown. Reports come every 3 s, so this
+  // tolerates the loss of three in a row.
   Duration valid_for = Seconds(10);
 };
 
@@ -34,7 +35,8 @@
 
   // Keeps the newest observation of each host.
   void Observe(std::span<const HostObservation> observations);
-  // Derives the state of the zones from the silence of their members.
+  // Derives which zones are partitioned from the entry processes whose member
+  // rows no longer change.
   void ObserveZones(Time now, const DrainGate& gate);
   // Drops observations of hosts that left the fleet.
   void DropRemovedHosts(const FleetState& state);
@@ -43,17 +45,21 @@
   bool IsHealthy(Time now, const HostState& host) const {
     return HealthOf(now, host) == HostHealth::kHealthy;
   }
-  // Healthy by an observation made after `since`.
+  // Returns true if the host is healthy according to an observation made after
+  // `since`.
   bool HealthySince(Time now, const HostState& host, Time since) const;
-  // Requests running by a valid observation, 0 when none is reported.
+  // Number of requests running on the host by the latest observation; 0 if the
+  // observation is too old or does not report them.
   uint32_t RunningRequests(Time now, const HostId& host) const;
 
-  // Every registered entry process of the zone is silent: the zone is
-  // partitioned from the platform and its hosts count as unavailable.
+  // Returns true if every registered entry process of the zone is silent. The
+  // zone is then partitioned from the platform, and its hosts count as
+  // unavailable.
   bool IsPartitioned(const ZoneId& zone) const {
     return partitioned_.contains(zone);
   }
-  // At least one is silent, so that a drain there could not be acknowledged.
+  // Returns true if at least one entry process of the zone is silent. A drain
+  // there would wait for an acknowledgement that does not come.
   bool WouldStallDrain(const ZoneId& zone) const {
     return stalled_.contains(zone);
   }
@@ -65,23 +71,28 @@
   std::set<ZoneId> stalled_;
 };
 
-// A host that a move brought to its new pool and that never served there. It
-// takes nothing from the pool, so it does not count against its budget.
+// Returns true if the host was moved to its current pool and has not served
+// there yet. The pool never relied on such a host, so it does not count against
+// the pool's budget.
 bool IsNewInPool(const HostState& host);
 
-// Counts of all pools at one version and time. Cost to build: O(hosts).
+// Unavailable and leaving hosts of each pool at one configuration version and
+// time. Keeps references to `state` and `health`. Cost to build: O(hosts).
 class BudgetTable {
  public:
   BudgetTable(Time now, const FleetState& state, const HealthView& health);
 
-  // The host may start to drain: the pool stays within its budget. A host that
-  // is unavailable already takes nothing more. A closed pool has no budget;
-  // its wave limit bounds the hosts that leave at once.
+  // Returns true if the pool stays within its budget when the host starts to
+  // drain. A host that is already unavailable is not counted twice. A closed
+  // pool has no budget; its wave limit bounds the number of hosts that leave at
+  // the same time.
   bool MayMakeUnavailable(const HostState& host) const;
 
-  // External losses and reservations together exceed the budget.
+  // Returns true if lost hosts and hosts taken out of service by control
+  // together exceed the pool's budget.
   bool IsExceeded(const PoolId& pool) const;
 
+  // Number of hosts of the pool that do not serve or are not healthy.
   uint32_t unavailable(const PoolId& pool) const;
 
  private:
--- a/radishmoor/fleet/change_writer.cc
+++ b/radishmoor/fleet/change_writer.cc
@@ -45,7 +45,8 @@
   transaction.expects = std::move(fences);
   transaction.expects.push_back({kConfigHeadKey, head.row});
   transaction.expects.push_back({ConfigDeltaKey(delta_.version), 0});
-  // The head is the first write, so that its new version is known by place.
+  // The head is the first write, so that the commit's reply lists its new
+  // version first.
   transaction.writes.push_back(
       {kConfigHeadKey, EncodeHead({delta_.version, head.snapshot})});
   transaction.writes.push_back(
@@ -73,8 +74,8 @@
   Duration limit = options_.first_back_off *
                    (int64_t{1} << std::min(consecutive_failures_ - 1, 16U));
   limit = std::min(limit, options_.max_back_off);
-  // Jitter over half of the delay keeps the processes of a site from returning
-  // together after an outage.
+  // Jitter over half of the delay spreads the retries of a site's processes
+  // after an outage.
   next_attempt_at_ =
       std::max(next_attempt_at_, now + random_.Between(limit / 2, limit));
 }
@@ -96,7 +97,8 @@
 
 std::optional<WriteResult> ChangeWriter::Handle(Time now,
                                                 const StoreAnswer& answer) {
-  // An answer to an earlier call is late; its call was resolved by reading.
+  // A late answer to an earlier call is ignored: that call timed out, and the
+  // writer reads the delta instead.
   if (answer.tag != tag_)
     return std::nullopt;
   if (stage_ == Stage::kCommitting)
--- a/radishmoor/fleet/change_writer.h
+++ b/radishmoor/fleet/change_writer.h
@@ -7,10 +7,11 @@
 //   for (StoreCall& call : writer.TakeCalls()) ...
 //
 // A transaction expects `config/head` at the version on which the change was
-// decided, so at most one change takes effect as its successor. A lost answer
-// is resolved by reading the delta of that version and comparing the operation
-// id. When that delta is absent, the lost transaction may still arrive; a new
-// change on the same head is safe, since only one of the two can commit.
+// decided, so at most one change can follow that version. If the answer to a
+// commit is lost, the writer reads the delta of the change's version and
+// compares its operation id with the one that was sent. If that delta is
+// absent, the lost transaction may still arrive; a new change on the same head
+// is safe, since only one of the two can commit.
 
 #ifndef RADISHMOOR_FLEET_CHANGE_WRITER_H_
 #define RADISHMOOR_FLEET_CHANGE_WRITER_H_
@@ -25,7 +26,7 @@
 namespace radishmoor {
 
 struct ChangeWriterOptions {
-  // Shared by all control processes of a site.
+  // Limit for all control processes of a site together.
   double site_writes_per_second = 100;
   Duration first_back_off = Milliseconds(200);
   Duration max_back_off = Seconds(10);
@@ -33,58 +34,71 @@
   Duration call_timeout = Seconds(30);
 };
 
-// The head that a change follows.
+// The row `config/head` on which a change is decided.
 struct HeadRow {
-  RowVersion row = 0;  // Version of the row `config/head`; 0: not known.
-  ConfigVersion snapshot = 0;
+  RowVersion row = 0;          // Version of the row; 0 if not known.
+  ConfigVersion snapshot = 0;  // Snapshot that the row names.
 };
 
 enum class WriteOutcome : uint8_t {
   kCommitted,
-  kConflict,    // Decided on an old version, or the fence no longer holds.
-  kNotWritten,  // The store was unavailable, or the lost answer was a failure.
+  kConflict,    // The change was decided on an old version, or a fence row has
+                // changed.
+  kNotWritten,  // The store was unavailable, or reading after a lost answer
+                // found no delta.
 };
 
 struct WriteResult {
   WriteOutcome outcome = WriteOutcome::kNotWritten;
   ConfigDelta delta;
-  HeadRow head;                        // After kCommitted, when known.
-  std::vector<std::string> conflicts;  // Keys whose expectation failed.
+  // After kCommitted: the new head; its `row` is 0 if the version is not known.
+  HeadRow head;
+  // After kConflict: keys of the rows that were not at the expected version.
+  std::vector<std::string> conflicts;
 };
 
 class ChangeWriter {
  public:
   ChangeWriter(ChangeWriterOptions options, uint64_t seed);
 
-  // Number of control processes that share the site's limit.
+  // Sets the number of control processes that share the site's write limit.
   void SetWriterCount(uint32_t writer_count);
 
-  // No change is in flight, and neither rate limit nor back-off forbids one.
+  // Returns true if no change is in flight and neither the rate limit nor the
+  // back-off forbids a new one.
   bool Ready(Time now) const;
   bool idle() const { return stage_ == Stage::kIdle; }
-  // When Ready may become true or a call is due. kTimeMax: only by an answer.
+  // Time at which Ready() may become true, a delayed read is due, or the call
+  // in flight times out.
   Time next_wake() const;
 
-  // Sends the change; sets `delta.operation`.
+  // Sends the change with a new operation id. Requires Ready(now). The commit
+  // expects the `fences` rows at their versions and deletes `removed_rows`.
   void Start(Time now,
              ConfigDelta delta,
              HeadRow head,
              std::vector<RowExpectation> fences,
              std::vector<std::string> removed_rows);
 
+  // Returns the result of the change once the answer decides it.
   std::optional<WriteResult> Handle(Time now, const StoreAnswer& answer);
+  // Handles call timeouts and sends a read that is due.
   void Tick(Time now);
   std::vector<StoreCall> TakeCalls();
 
+  // Commits that the store answered as unavailable, and reads that returned no
+  // rows.
   uint64_t unavailable() const { return unavailable_; }
+  // Calls whose answer was lost.
   uint64_t unknown() const { return unknown_; }
+  // Lost answers of changes that turned out to be committed.
   uint64_t resolved_committed() const { return resolved_committed_; }
 
  private:
   enum class Stage : uint8_t {
     kIdle,
     kCommitting,
-    kWaitingToRead,  // The answer was lost; the read follows the back-off.
+    kWaitingToRead,  // The answer was lost; a read follows after the back-off.
     kReading,
   };
 
--- a/radishmoor/fleet/controller.cc
+++ b/radishmoor/fleet/controller.cc
@@ -59,12 +59,12 @@
 }
 
 std::vector<FleetAction> Controller::SetMembers(Time now, MemberList members) {
-  uint32_t controls = 0;
+  uint32_t control_processes = 0;
   for (const MemberView& member : members.members) {
     if (member.role == MemberRole::kControl)
-      ++controls;
+      ++control_processes;
   }
-  writer_.SetWriterCount(controls);
+  writer_.SetWriterCount(control_processes);
   gate_.ObserveMembers(std::move(members));
   return DecideAtNextTick(now);
 }
@@ -168,7 +168,7 @@
     case WriteOutcome::kCommitted:
       ++counters_.commits;
       ReportChange(result.delta);
-      // The view may have delivered this change, or later ones, already.
+      // SetConfig may have delivered this change or later ones already.
       if (result.delta.version == next_version()) {
         state_.Apply(result.delta);
         head_ = result.head;
@@ -178,7 +178,8 @@
     case WriteOutcome::kConflict:
       ++counters_.conflicts;
       for (const std::string& key : result.conflicts) {
-        // A stale head waits for the view; a stale fence for the lease.
+        // After a stale fence the lease must change first; after a stale head
+        // the view must deliver a newer configuration first.
         if (key != kConfigHeadKey && !key.starts_with("config/delta/"))
           MarkLeaseFenced();
         else if (state_.version < result.delta.version)
@@ -192,7 +193,8 @@
 
 void Controller::MarkLeaseFenced() {
   auto lease = leases_.find(change_lease_.pool);
-  // The lease may have been renewed with other rows since the change was sent.
+  // If the lease has got other fence rows since the change was sent, the
+  // conflict says nothing about the present lease.
   if (lease != leases_.end() &&
       SameFences(lease->second.fences, change_lease_.fences)) {
     fenced_leases_.insert(change_lease_.pool);
@@ -220,9 +222,9 @@
       ++counters_.moves;
       wave_.CountMove();
     }
-    bool back = before && before->phase == HostPhase::kDraining &&
-                host.phase == HostPhase::kActive;
-    if (back) {
+    bool drain_cancelled = before && before->phase == HostPhase::kDraining &&
+                           host.phase == HostPhase::kActive;
+    if (drain_cancelled) {
       ++counters_.give_backs;
       event.detail = "drain given back";
     }
@@ -243,7 +245,7 @@
 
 std::vector<FleetAction> Controller::Decide(Time now) {
   health_.ObserveZones(now, gate_);
-  // Plans once a second at most: loads arrive at that rate.
+  // Plans at most once per second, since loads arrive at that rate.
   if (now - lending_planned_at_ >= Seconds(1)) {
     lending_plan_ = lending_planner_.Plan(now, state_);
     lending_planned_at_ = now;
@@ -339,7 +341,7 @@
     Time now,
     const BudgetTable& budgets) {
   for (const auto& [id, host] : state_.hosts) {
-    // Returning a host that is itself lost restores nothing.
+    // Activating an unhealthy host would not make the pool more available.
     if (host.phase != HostPhase::kDraining || !budgets.IsExceeded(host.pool) ||
         !health_.IsHealthy(now, host) || !ValidLease(now, host.pool)) {
       continue;
@@ -381,10 +383,11 @@
       return idle ? std::optional(FinishDrain(host)) : std::nullopt;
     }
     case HostPhase::kRebooting: {
-      bool back = platform != platform_.end() &&
-                  platform->second.rebooted_key == host.drain_version &&
-                  health_.HealthySince(now, host, platform->second.rebooted_at);
-      return back ? std::optional(FinishReboot(host)) : std::nullopt;
+      bool returned =
+          platform != platform_.end() &&
+          platform->second.rebooted_key == host.drain_version &&
+          health_.HealthySince(now, host, platform->second.rebooted_at);
+      return returned ? std::optional(FinishReboot(host)) : std::nullopt;
     }
     case HostPhase::kDrained:
       return AdvanceDrainedHost(now, host, budgets);
@@ -398,20 +401,22 @@
     const BudgetTable& budgets) const {
   DrainReasons reasons = CurrentDrainReasons(host);
   bool new_in_pool = IsNewInPool(host);
-  // Maintenance and moves wait for the budget; the host returns instead.
-  bool withheld = !new_in_pool && budgets.IsExceeded(host.pool);
+  // While the pool exceeds its budget, the host returns to service before its
+  // maintenance or move.
+  bool waits_for_budget = !new_in_pool && budgets.IsExceeded(host.pool);
   if (reasons.retire)
     return Retire(host);
-  if (reasons.maintain && !new_in_pool && !withheld) {
+  if (reasons.maintain && !new_in_pool && !waits_for_budget) {
     if (wave_.MayReboot(usage_, state_, host) &&
         health_.RunningRequests(now, host.id) == 0) {
       return StartReboot(host, next_version(), state_.rules.maintenance);
     }
-    // A host that also moves completes the round in its new pool.
+    // A host that also moves need not wait here for its reboot: it completes
+    // the round in its new pool.
     if (!reasons.move_to)
       return std::nullopt;
   }
-  if (reasons.move_to && !withheld)
+  if (reasons.move_to && !waits_for_budget)
     return MoveToPool(host, *reasons.move_to);
   auto platform = platform_.find(host.id);
   bool admitted = platform != platform_.end() &&
@@ -444,8 +449,8 @@
     return false;
   }
   DrainReasons reasons = CurrentDrainReasons(host);
-  bool other = reasons.retire || reasons.hold || reasons.move_to;
-  if (!other &&
+  bool has_other_reason = reasons.retire || reasons.hold || reasons.move_to;
+  if (!has_other_reason &&
       (!reasons.maintain || !wave_.MayStartDrain(usage_, state_, host))) {
     return false;
   }
@@ -465,7 +470,8 @@
 std::optional<Controller::Change> Controller::StartNextDrain(
     Time now,
     const BudgetTable& budgets) {
-  // Operators' intents and moves come before the round.
+  // Drains that operators or moves require come before those of the
+  // maintenance round.
   for (const auto& [id, host] : state_.hosts) {
     if (!IsDue(state_, host) && MayStartDrain(now, host, budgets))
       return MakeHostChange(StartDrain(host, next_version()), host.pool);
@@ -485,12 +491,12 @@
 }
 
 FleetCounters Controller::fleet_counters() const {
-  FleetCounters figures = counters_;
-  figures.unavailable = writer_.unavailable();
-  figures.unknown = writer_.unknown();
-  figures.resolved_committed = writer_.resolved_committed();
-  figures.wave_pauses = wave_.pauses();
-  return figures;
+  FleetCounters counters = counters_;
+  counters.unavailable = writer_.unavailable();
+  counters.unknown = writer_.unknown();
+  counters.resolved_committed = writer_.resolved_committed();
+  counters.wave_pauses = wave_.pauses();
+  return counters;
 }
 
 }  // namespace radishmoor
--- a/radishmoor/fleet/controller.h
+++ b/radishmoor/fleet/controller.h
@@ -9,10 +9,10 @@
 //
 // Every method returns the actions that follow from the input; the caller
 // carries them out and returns StoreAnswers and PlatformResults. All progress
-// is in the configuration log. The memory of a controller only holds timers and
-// the answers of the platform, which a successor asks for again.
+// is recorded in the configuration log. A controller's memory holds only timers
+// and the platform's answers; a successor requests those answers again.
 //
-// Cost of each input: O(hosts log hosts + draining hosts * members).
+// Cost of each decision: O(hosts log hosts + draining hosts * members).
 
 #ifndef RADISHMOOR_FLEET_CONTROLLER_H_
 #define RADISHMOOR_FLEET_CONTROLLER_H_
@@ -42,12 +42,13 @@
   RetirementOptions retirement;
   ChangeWriterOptions writer;
   LendingPolicy lending = StaticLending{};
-  // After giving a reservation back, nothing new starts in the pool this long,
-  // so that health that comes and goes does not drain hosts in turn.
+  // After a drain was cancelled to restore a pool's budget, no drain starts in
+  // the pool for this long. Otherwise hosts whose health changes repeatedly
+  // would make the controller drain one host after another.
   Duration cancelled_drain_hold = Seconds(30);
-  // An action without result is repeated after this time.
+  // A platform action without a result is repeated after this time.
   Duration platform_retry = Seconds(10);
-  // Prefix of the lease rows that a removed pool takes along.
+  // Prefix of the lease row's key; the row is deleted together with its pool.
   std::string lease_prefix = "lease/";
 };
 
@@ -55,9 +56,9 @@
  public:
   Controller(ControllerOptions options, MemberId self, uint64_t seed);
 
-  // The accepted configuration as the view holds it, the version of the row
-  // `config/head` with it, and the snapshot that the head names. An older
-  // version than the one known is ignored.
+  // Sets the accepted configuration. `head_row` is the version of the row
+  // `config/head` that belongs to it, `snapshot` the snapshot that this row
+  // names. Ignores a configuration older than the current one.
   std::vector<FleetAction> SetConfig(Time now,
                                      const FleetState& state,
                                      RowVersion head_row,
@@ -65,24 +66,26 @@
   std::vector<FleetAction> SetMembers(Time now, MemberList members);
   std::vector<FleetAction> SetHostList(Time now,
                                        std::span<const HostListEntry> hosts);
-  // Health of hosts in every phase: a host that returns from a reboot or a move
-  // is admitted only when it is healthy.
+  // Adds health observations. They must cover hosts in every phase: a host that
+  // returns from a reboot or a move is activated only when it is healthy.
   std::vector<FleetAction> SetHealth(
       Time now,
       std::span<const HostObservation> observations);
-  // All leases that the process holds now; others are lost.
+  // Sets all leases that the process holds now. A lease that is missing from
+  // the list counts as lost.
   std::vector<FleetAction> SetLeases(Time now, std::vector<PoolLease> leases);
   std::vector<FleetAction> SetLoads(Time now, std::span<const PoolLoad> loads);
   std::vector<FleetAction> Handle(Time now, const StoreAnswer& answer);
   std::vector<FleetAction> Handle(Time now, const PlatformResult& result);
   std::vector<FleetAction> Tick(Time now);
 
-  // When Tick should be called next; at most one second after the last input,
-  // since health and silence age.
+  // When Tick should be called next, at most one second after the last
+  // decision, since observations and member rows become outdated with time.
   Time next_wake() const { return next_wake_; }
 
+  // As SoonDueHosts().
   bool IsSoonDue(const HostId& host) const { return soon_due_.contains(host); }
-  // Why a draining host waits, for `status`.
+  // Returns why a draining host is not considered idle yet, for diagnostics.
   DrainGateResult CheckDrainGate(Time now, const HostId& host) const;
   bool wave_paused() const { return wave_.paused(); }
   // As Wave::FirstCompleted().
@@ -95,14 +98,15 @@
  private:
   struct Change {
     ConfigDelta delta;
-    PoolId lease;
+    PoolId lease;  // The pool whose lease fences the change.
     std::vector<std::string> removed_rows;
   };
 
-  // Remembers for each host the key of an action and of its result.
+  // Keys of the latest actions sent to the platform for one host, and keys of
+  // their results.
   struct PlatformState {
-    uint64_t checkpoint_key = 0;
-    uint64_t checkpointed_key = 0;
+    uint64_t checkpoint_key = 0;    // Sent.
+    uint64_t checkpointed_key = 0;  // Finished.
     uint64_t reboot_key = 0;
     uint64_t rebooted_key = 0;
     Time rebooted_at{};
@@ -112,23 +116,26 @@
   };
 
   std::vector<FleetAction> Decide(Time now);
-  // Leaves the decision to the next Tick, due at once, so that inputs that
-  // arrive together cost one decision.
+  // Makes the next Tick due at once and leaves the decision to it, so that
+  // inputs that arrive together cost one decision.
   std::vector<FleetAction> DecideAtNextTick(Time now);
   void ObserveState(Time now);
   void ApplyResult(Time now, const WriteResult& result);
   void MarkLeaseFenced();
   void ReportChange(const ConfigDelta& delta);
 
-  // The lease of the pool when it holds now, else null.
+  // Returns the pool's lease, or null if this process holds none that is valid
+  // now.
   const PoolLease* ValidLease(Time now, const PoolId& pool) const;
 
-  // Platform actions that the committed phases call for.
+  // Sends the platform actions that the committed phases of the hosts require,
+  // and repeats those without a result.
   void RequestPlatform(Time now, const BudgetTable& budgets);
   bool WantsAdmission(const HostState& host, const BudgetTable& budgets) const;
 
-  // The next change to commit, by urgency: returning reservations, progress of
-  // hosts that left service, then new starts.
+  // Returns the next change to commit. In order of urgency: cancelling drains
+  // of pools over their budget, advancing hosts that have left service,
+  // removing empty closed pools, starting new drains.
   std::optional<Change> NextChange(Time now, const BudgetTable& budgets);
   std::optional<Change> CancelDrainOverBudget(Time now,
                                               const BudgetTable& budgets);
@@ -154,7 +161,7 @@
   DrainGate gate_;
   HealthView health_;
   Wave wave_;
-  WaveUsage usage_;  // At the version that NextChange decides on.
+  WaveUsage usage_;  // For the state on which NextChange decides.
   Retirement retirement_;
   LendingPlanner lending_planner_;
   LendingPlan lending_plan_;
@@ -163,9 +170,10 @@
   FleetState state_;
   HeadRow head_;
   std::map<PoolId, PoolLease> leases_;
-  // Leases whose fences failed; unused until they come with other versions.
+  // Pools whose lease failed as a fence. The lease is not used until it has
+  // other fence rows or versions.
   std::set<PoolId> fenced_leases_;
-  PoolLease change_lease_;  // That of the change in flight.
+  PoolLease change_lease_;  // Fences the change in flight.
   std::map<PoolId, Time> no_new_drains_until_;
   std::map<HostId, PlatformState> platform_;
   std::set<HostId> soon_due_;
--- a/radishmoor/fleet/drain_gate.cc
+++ b/radishmoor/fleet/drain_gate.cc
@@ -48,8 +48,8 @@
 }
 
 bool DrainGate::IsConfirmedEnded(const MemberView& member) const {
-  // A later instance under the same name proves nothing about an earlier one:
-  // the platform may replace a host that it cannot reach.
+  // A later instance with the same name does not prove that the earlier one has
+  // ended: the platform may replace a host that it cannot reach.
   return !member.host.empty() &&
          terminated_instances_.contains({member.host, member.host_instance});
 }
@@ -76,8 +76,8 @@
   Time sends_end = known_since + options_.remote_view_age + options_.margin;
   if (!acknowledged && now < sends_end)
     return GateBlock::kRemoteMaySend;
-  // A member that still renews its row and reports the host as busy is
-  // believed over the deadline bound.
+  // A member that still renews its row and reports requests on the host takes
+  // precedence over the bound by the largest deadline.
   if (acknowledged && !IsSilent(now, member))
     return GateBlock::kRemoteMayBeBusy;
   bool bounded = options_.max_request_time > Duration::zero();
--- a/radishmoor/fleet/drain_gate.h
+++ b/radishmoor/fleet/drain_gate.h
@@ -1,5 +1,5 @@
-// Decides whether a draining host has provably become idle: no entry process
-// may still send to it and none has requests in flight on it.
+// Decides whether a draining host is provably idle: no entry process may still
+// send to it, and none has requests in flight on it.
 //
 //   DrainGate gate(options);
 //   gate.ObserveState(now, state);         // after each new version
@@ -7,21 +7,23 @@
 //   gate.ObserveHostList(entries);
 //   if (gate.Check(now, host).open) ...
 //
-// Proof, for a drain committed at time C with version D:
+// Proof, for a drain committed at time C with configuration version D, where a
+// member is an entry process and its view is the configuration that it uses:
 //  - A member of the host's zone may send under an older view for as long as a
-//    partition lasts. Only its row with a version in force >= D, or proof that
-//    the process ended, shows that it stopped.
+//    partition lasts. Only a member row with a version in force >= D, or proof
+//    that the process ended, shows that it has stopped sending.
 //  - A member of another zone sends only while its view is at most 5 s old,
-//    counted from the sending of the read. A read sent after C returns at least
-//    D, so its last send is before C + 5 s. The gate counts 5 s + 1 s from when
-//    this process first knew of the drain, which is not before C.
+//    counted from when it sent the read of that view. A read sent after C
+//    returns at least D, so the member's last send under an older view is
+//    before C + 5 s. The gate waits 5 s + 1 s of margin from when this process
+//    first knew of the drain, which is not before C.
 //  - A request of a silent member of another zone ends at its deadline, which
 //    entry processes limit to `max_request_time`. After
 //    5 s + 1 s + max_request_time none of its requests can still be answered
 //    in time, so a reboot interrupts none.
 //  - A member that registers after the member list was read sends only under a
-//    view whose read was sent after its registration, which is after C, so its
-//    view holds at least D.
+//    view that it read after its registration, which is after C, so its view is
+//    at least at D.
 
 #ifndef RADISHMOOR_FLEET_DRAIN_GATE_H_
 #define RADISHMOOR_FLEET_DRAIN_GATE_H_
@@ -39,13 +41,14 @@
 struct DrainGateOptions {
   // Largest age of the view under which a member sends to another zone.
   Duration remote_view_age = Seconds(5);
-  // Covers the drift between two clocks over the times above.
+  // Covers the drift between the clocks of two processes over these times.
   Duration margin = Seconds(1);
-  // A row without change for longer marks its process as silent: lease of 10 s
-  // plus 2 s margin.
+  // A member whose row has not changed for longer counts as silent: a member
+  // lease of 10 s plus 2 s of margin.
   Duration silent_after = Seconds(12);
-  // Largest deadline that entry processes accept. 0: unlimited, so that a
-  // silent member of another zone keeps the host draining.
+  // Largest time to the deadline that entry processes accept for a request.
+  // 0 means unlimited; a silent member of another zone then keeps the host
+  // draining.
   Duration max_request_time = Seconds(600);
 };
 
@@ -54,32 +57,35 @@
   kNotDraining,
   kMembersNotRead,        // No member list read since the drain was known.
   kLocalNotAcknowledged,  // A member of the host's zone may still send.
-  kLocalBusy,
-  kRemoteMaySend,
-  kRemoteMayBeBusy,
+  kLocalBusy,             // A member of the host's zone has requests on it.
+  kRemoteMaySend,         // A member of another zone may still send.
+  kRemoteMayBeBusy,       // A member of another zone may have requests on it.
 };
 
 struct DrainGateResult {
   bool open = false;
   GateBlock block = GateBlock::kNone;
-  MemberId member;  // The first one that blocks.
+  MemberId member;  // The first member that blocks; empty if none does.
 };
 
 class DrainGate {
  public:
   explicit DrainGate(DrainGateOptions options) : options_(options) {}
 
-  // Notes when each drain was first known here. Cost: O(hosts).
+  // Records when this process first knew of each drain. Cost: O(hosts).
   void ObserveState(Time now, const FleetState& state);
   void ObserveMembers(MemberList members);
-  // Remembers confirmed ends; the list may later fall back to an older state.
+  // Remembers the instances that the platform reports as terminated, since a
+  // later list may show an older state.
   void ObserveHostList(std::span<const HostListEntry> hosts);
 
   // Cost: O(members).
   DrainGateResult Check(Time now, const HostState& host) const;
 
-  // The platform confirmed the end of the instance that the member runs on.
+  // Returns true if the platform confirmed the end of the host instance that
+  // the member runs on.
   bool IsConfirmedEnded(const MemberView& member) const;
+  // Returns true if the member's row has not changed for `silent_after`.
   bool IsSilent(Time now, const MemberView& member) const;
   const MemberList& members() const { return members_; }
 
--- a/radishmoor/fleet/lending.cc
+++ b/radishmoor/fleet/lending.cc
@@ -6,7 +6,8 @@
 namespace radishmoor {
 namespace {
 
-// A report older than this says nothing; the loans of its pool stay.
+// After a load report becomes older than this, the pool keeps the loans that it
+// has.
 constexpr Duration kLoadReportValidFor = Seconds(10);
 
 struct Thresholds {
@@ -29,11 +30,11 @@
                              policy.period.count());
 }
 
-uint32_t HostsForLoad(double load, double level) {
-  return static_cast<uint32_t>(std::ceil(load / level));
+uint32_t HostsForLoad(double load, double load_per_host) {
+  return static_cast<uint32_t>(std::ceil(load / load_per_host));
 }
 
-// Starts or clears the time since which a condition holds.
+// Updates the time since which a condition holds; kTimeMax if it does not hold.
 void UpdateConditionStart(Time now, bool holds, Time* since) {
   if (!holds)
     *since = kTimeMax;
@@ -41,8 +42,8 @@
     *since = std::min(*since, now);
 }
 
-bool HasHeldFor(Time now, Time since, Duration time) {
-  return since != kTimeMax && now - since >= time;
+bool HasHeldFor(Time now, Time since, Duration duration) {
+  return since != kTimeMax && now - since >= duration;
 }
 
 }  // namespace
@@ -129,7 +130,8 @@
       at_home.push_back(&host);
     }
   }
-  // Hosts that drain already come first, so that a drain is not wasted.
+  // Hosts that are already out of service come first, so that no further host
+  // needs to be drained for them.
   std::stable_sort(at_home.begin(), at_home.end(),
                    [](const HostState* a, const HostState* b) {
                      return (a->phase != HostPhase::kActive) >
--- a/radishmoor/fleet/lending.h
+++ b/radishmoor/fleet/lending.h
@@ -1,7 +1,8 @@
-// Lending of spare hosts to pools whose load peaks.
+// Lends hosts of spare pools to pools whose load peaks.
 //
-// A host whose `wanted_pool` is a spare pool is at home there and may be placed
-// in any other pool; no further record is needed to bring it back.
+// A host whose `wanted_pool` is a spare pool has that pool as its home and may
+// be moved to any other pool. `wanted_pool` stays the same during a loan, so no
+// other record is needed to bring the host back.
 //
 //   LendingPolicy policy = HysteresisLending{options};
 //   Lender lender(policy);
@@ -21,32 +22,39 @@
 
 namespace radishmoor {
 
-// The pool in which a spare host should be. A host without entry stays where it
-// is.
+// The pool in which each spare host should be. A host without an entry stays
+// where it is.
 using LendingPlan = std::map<HostId, PoolId>;
 
 // Lends nothing; hosts on loan return.
 struct StaticLending {};
 
-// Lends while the load is high, takes back while it is low.
+// Lends hosts while the load is high and takes them back while it is low.
 struct HysteresisLending {
-  double high = 0.9;  // Load for each host of the pool above which to lend.
-  double low = 0.5;   // Load after the return below which to take back.
+  // Lends when the load per host of the pool exceeds this share of one host's
+  // capacity.
+  double high = 0.9;
+  // Takes hosts back when the load per host would stay at or below this share
+  // without them.
+  double low = 0.5;
+  // How long each condition must hold.
   Duration lend_after = Seconds(2);
   Duration return_after = Seconds(30);
 };
 
-// Learns the load of each pool over a period and lends before it rises.
+// Learns how the load of each pool changes over a period, and lends hosts
+// before the load rises. `high`, `low` and `return_after` are as in
+// HysteresisLending.
 struct PredictiveLending {
   double high = 0.9;
   double low = 0.5;
   Duration period = Seconds(86400);
-  uint32_t bins = 1440;
-  // Covers the drain, the gate and the admission of a move.
+  uint32_t bins = 1440;  // Intervals into which the period is divided.
+  // How far ahead to plan. Covers the time of a move: drain, drain gate and
+  // admission to the new pool.
   Duration lead_time = Seconds(60);
   Duration return_after = Seconds(30);
-  double newest_period_weight =
-      0.5;  // Of the newest period in the learned load.
+  double newest_period_weight = 0.5;  // In the learned load.
 };
 
 using LendingPolicy =
@@ -63,11 +71,11 @@
 
  private:
   struct Bin {
-    double load = 0;
+    double load = 0;  // Weighted mean of the maximum of each period.
     bool known = false;
   };
   struct LoadHistory {
-    double demand = 0;
+    double demand = 0;  // Last report, in hosts.
     Time reported{};
     Time high_since = kTimeMax;
     Time low_since = kTimeMax;
@@ -76,10 +84,12 @@
     double current_bin_max = 0;
   };
 
-  // Load to plan for.
+  // Load to plan for, in hosts: the last report or, when predicting, the
+  // largest learned load within the lead time if that is larger.
   double ExpectedLoad(Time now, const LoadHistory& history) const;
   void RecordLoad(Time now, LoadHistory* history) const;
-  // Hosts on loan that the pool should have, given those it has.
+  // Number of hosts on loan that the pool should have. It has `own` hosts of
+  // its own and `loans` on loan now.
   uint32_t WantedLoans(Time now,
                        LoadHistory* history,
                        uint32_t own,
--- a/radishmoor/fleet/moves.cc
+++ b/radishmoor/fleet/moves.cc
@@ -6,7 +6,7 @@
 namespace radishmoor {
 namespace {
 
-// The pool that the host should be in.
+// Returns the pool that the host should be in.
 PoolId WantedPool(const FleetState& state,
                   const HostState& host,
                   const LendingPlan& plan) {
@@ -16,7 +16,7 @@
     return host.pool;
   if (!wanted->spare)
     return host.wanted_pool;
-  // A host whose home is a spare pool is where lending places it.
+  // The lending plan places a host whose home is a spare pool.
   if (!current || current->closed)
     return host.wanted_pool;
   auto it = plan.find(host.id);
@@ -67,8 +67,9 @@
   RADISHMOOR_INVARIANT("fleet.reboot_from_drained",
                        host.phase == HostPhase::kDrained);
   host.phase = HostPhase::kRebooting;
-  // A fresh key for the platform: one reservation stands for one reboot, also
-  // when the next round begins before the host serves again.
+  // `drain_version` is the key of the reboot action. A new key for each round
+  // gives the host one reboot per round, even if the next round begins before
+  // the host serves again.
   host.drain_version = version;
   host.maintained = round;
   return host;
--- a/radishmoor/fleet/retirement.cc
+++ b/radishmoor/fleet/retirement.cc
@@ -31,8 +31,8 @@
   auto closed = closed_since_.find(host.pool);
   if (closed == closed_since_.end())
     return false;
-  // Entry processes learn of the closing within `margin`; a queue that is empty
-  // after that receives nothing more.
+  // Entry processes learn of the closing within `margin`. A queue that is empty
+  // after that receives no further requests.
   Time closing_known_at = closed->second + options_.margin;
   auto queue = queues_.find(host.pool);
   if (queue != queues_.end() && queue->second.queued == 0 &&
--- a/radishmoor/fleet/retirement.h
+++ b/radishmoor/fleet/retirement.h
@@ -1,5 +1,6 @@
-// Retirement of a service: its pool is closed, its hosts leave in order, and at
-// last the pool, its retired hosts and its lease are removed.
+// Retires a service whose pool the operator has closed: its hosts leave, the
+// last one only after the queue is empty, and then the pool, its retired hosts
+// and its lease are removed.
 
 #ifndef RADISHMOOR_FLEET_RETIREMENT_H_
 #define RADISHMOOR_FLEET_RETIREMENT_H_
@@ -13,11 +14,13 @@
 namespace radishmoor {
 
 struct RetirementOptions {
-  // Largest deadline of a request. After closing, no queued request lives
-  // longer. 0: unlimited, so that only an empty queue releases the last host.
+  // Largest time to the deadline of a request. After the pool was closed, no
+  // request waits in its queue for longer. 0 means unlimited; the last host
+  // then leaves only when the queue is empty.
   Duration max_request_time = Seconds(600);
+  // Entry processes learn of the closing within this time.
   Duration margin = Seconds(6);
-  // A load report older than this says nothing about the queue.
+  // An older load report is not used.
   Duration load_valid_for = Seconds(5);
 };
 
@@ -28,14 +31,16 @@
   void ObserveState(Time now, const FleetState& state);
   void ObserveLoads(Time now, std::span<const PoolLoad> loads);
 
-  // The host may leave its closed pool: others still serve the queue, or the
-  // queue is empty by a report that is newer than the closing.
+  // Returns true if the host may leave its closed pool: other hosts still serve
+  // the queue, a report made after the closing says that the queue is empty, or
+  // every queued request has passed its deadline.
   bool MayDrainFromClosedPool(Time now,
                               const FleetState& state,
                               const HostState& host) const;
 
-  // The change that removes a closed pool once no host belongs to it except
-  // retired ones and none wants to join it; nothing while some remain.
+  // Returns the change that removes a closed pool and its retired hosts, or
+  // nothing while a host that is not retired is in the pool or wants to join
+  // it.
   static std::optional<ConfigDelta> RemovePool(const FleetState& state,
                                                const PoolId& pool);
 
--- a/radishmoor/fleet/testing/controller_test.cc
+++ b/radishmoor/fleet/testing/controller_test.cc
@@ -19,7 +19,8 @@
   return text;
 }
 
-// No host is on its way and no work is left for control.
+// Lists the hosts in intent kServe that are not active, are due for maintenance
+// or are in the wrong pool. Empty when no work is left for control.
 std::string DescribeUnfinishedHosts(const FleetState& state) {
   std::string text;
   for (const auto& [id, host] : state.hosts) {
@@ -37,13 +38,13 @@
   return text;
 }
 
-// Runs ten minutes with faults and lets the site settle without.
+// Runs 600 s with faults, then without faults until 2000 s.
 void RunWithRandomFaults(uint64_t seed, const SimFaults& faults) {
   SetInvariantSeed(seed);
   SimOptions options;
   options.seed = seed;
   options.faults = faults;
-  options.controllers = 2 + static_cast<int>(seed % 2);
+  options.control_process_count = 2 + static_cast<int>(seed % 2);
   options.control.wave.canary_soak = Seconds(10);
   options.control.wave.reboot_timeout = Seconds(120);
   options.control.wave.resume_after = Seconds(30);
@@ -71,16 +72,21 @@
   CHECK(sim.drains > 10);
 }
 
-// Guards against any rule of 6.3 and 6.4 broken by one kind of fault, by pairs
-// and by all at once.
-TEST_CASE("random faults keep the rules, and work finishes after them") {
+// Guards against a broken rule (sends only to hosts in service, budgets, no
+// reboot or pool change under load) and against work that never finishes, with
+// each kind of fault, each pair of kinds and all kinds at once.
+TEST_CASE("random faults break no rule, and all work finishes after they end") {
   using Flag = bool SimFaults::*;
-  const std::vector<Flag> flags{
-      &SimFaults::store_down,     &SimFaults::store_slow,
-      &SimFaults::lost_answers,   &SimFaults::pauses,
-      &SimFaults::kills,          &SimFaults::partitions,
-      &SimFaults::racks,          &SimFaults::reboots_fail,
-      &SimFaults::platform_drops, &SimFaults::operators};
+  const std::vector<Flag> flags{&SimFaults::store_down,
+                                &SimFaults::store_slow,
+                                &SimFaults::lost_answers,
+                                &SimFaults::pauses,
+                                &SimFaults::kills,
+                                &SimFaults::partitions,
+                                &SimFaults::rack_outages,
+                                &SimFaults::reboots_fail,
+                                &SimFaults::platform_loses_or_repeats,
+                                &SimFaults::operator_changes};
   uint64_t seed = 20261204;
   RunWithRandomFaults(seed++, {});
   for (size_t a = 0; a < flags.size(); ++a) {
@@ -99,8 +105,6 @@
   }
 }
 
-// Drain gate.
-
 struct DrainGateFixture {
   FleetState state;
   DrainGate gate{DrainGateOptions{.max_request_time = Seconds(60)}};
@@ -129,9 +133,10 @@
   }
 };
 
-// Guards against a host handed over while a member of its zone may still send
-// or has requests in flight, however long it is silent.
-TEST_CASE("a member of the host's zone must acknowledge and be idle") {
+// Guards against a host that counts as drained while a member of its zone may
+// still send to it or has requests in flight, however long the member is
+// silent.
+TEST_CASE("a drain waits until its zone's members acknowledge and are idle") {
   DrainGateFixture c;
   CHECK(c.Check(1'000'000, {c.member}) == GateBlock::kLocalNotAcknowledged);
   c.member.version_in_force = 7;
@@ -144,8 +149,9 @@
   CHECK(c.Check(100, {c.member}) == GateBlock::kNone);
 }
 
-// Guards against a lagging host list or a reused name taken as proof of an end.
-TEST_CASE("only the confirmed end of the very instance excuses a member") {
+// Guards against an outdated host list or a reused host name being taken as
+// proof that a member has ended.
+TEST_CASE("a drain ignores a member only after its own instance has ended") {
   DrainGateFixture c;
   auto list = [&](HostListState state, uint64_t instance) {
     std::vector<HostListEntry> hosts{{"eh", state, instance}};
@@ -157,13 +163,13 @@
   CHECK(list(HostListState::kLeaving, 3) != GateBlock::kNone);
   CHECK(list(HostListState::kLive, 4) != GateBlock::kNone);
   CHECK(list(HostListState::kTerminated, 3) == GateBlock::kNone);
-  // An older copy of the list does not take the proof back.
+  // A later list with an older state does not withdraw the proof.
   CHECK(list(HostListState::kLive, 3) == GateBlock::kNone);
   c.member.host = "";
   CHECK(c.Check(200, {c.member}) != GateBlock::kNone);
 }
 
-TEST_CASE("a newer incarnation replaces the row of an older one") {
+TEST_CASE("of two rows of one member only the newer incarnation counts") {
   DrainGateFixture c;
   MemberView newer = c.member;
   newer.incarnation = {2};
@@ -174,16 +180,18 @@
   CHECK(c.Check(100, {c.member, newer}) != GateBlock::kNone);
 }
 
-// Guards against a reboot under requests of an unreachable member of another
-// zone: its sends end after 5 s + 1 s, its requests at their deadline.
-TEST_CASE("a member of another zone is bounded by view age and deadline") {
+// Guards against a reboot that interrupts requests of an unreachable member of
+// another zone: it stops sending after 5 s + 1 s of margin, and its requests
+// end at their deadline.
+TEST_CASE("a silent member of another zone blocks until its last deadline") {
   DrainGateFixture c;
   c.member.zone = ZoneId("z1");
   CHECK(c.Check(105, {c.member}) == GateBlock::kRemoteMaySend);
   CHECK(c.Check(106, {c.member}) == GateBlock::kRemoteMayBeBusy);
   CHECK(c.Check(165, {c.member}) == GateBlock::kRemoteMayBeBusy);
   CHECK(c.Check(166, {c.member}) == GateBlock::kNone);
-  // Acknowledged and busy: silent, then still renewing.
+  // The member has acknowledged and reports requests on the host; first it is
+  // silent, then it still renews its row.
   c.member.version_in_force = 7;
   c.member.busy = {c.host.id};
   CHECK(c.Check(165, {c.member}) == GateBlock::kRemoteMayBeBusy);
@@ -200,16 +208,16 @@
         GateBlock::kRemoteMayBeBusy);
 }
 
-// Guards against a member that registered between the reading of the list and
-// the drain.
-TEST_CASE("a member list read before the drain was known proves nothing") {
+// Guards against a member that registered between the read of the list and the
+// drain, and so is missing from the list.
+TEST_CASE("a member list read before the drain was known is ignored") {
   DrainGateFixture c;
   c.gate.ObserveMembers({AtSecond(99), {}});
   CHECK(c.gate.Check(AtSecond(200), c.host).block ==
         GateBlock::kMembersNotRead);
   c.gate.ObserveMembers({AtSecond(100), {}});
   CHECK(c.gate.Check(AtSecond(200), c.host).open);
-  // A second drain of the host counts from its own start.
+  // A second drain of the host needs a member list read after its own start.
   c.host.drain_version = 9;
   c.state.hosts[c.host.id] = c.host;
   CHECK_FALSE(c.gate.Check(AtSecond(200), c.host).open);
@@ -218,8 +226,6 @@
         GateBlock::kMembersNotRead);
 }
 
-// Writer.
-
 struct ChangeWriterFixture {
   ChangeWriter writer;
   ConfigDelta delta;
@@ -250,8 +256,9 @@
   }
 };
 
-// Guards against a change done twice, or taken as failed, after a lost answer.
-TEST_CASE("a lost answer is resolved by the operation id of the delta") {
+// Guards against a change that is committed twice, or wrongly counted as
+// failed, after its answer was lost.
+TEST_CASE("after a lost answer the delta's operation id decides the outcome") {
   for (int outcome = 0; outcome < 3; ++outcome) {
     ChangeWriterFixture c(1);
     ConfigDelta sent = c.Start(AtSecond(10));
@@ -269,8 +276,8 @@
                                              : WriteOutcome::kNotWritten));
     CHECK(result->head.row == (outcome == 0 ? 49 : 0));
   }
-  // A store that never answers counts as an unknown outcome, and its late
-  // answer changes nothing.
+  // A call without an answer counts as lost after its timeout, and a late
+  // answer is ignored.
   ChangeWriterFixture c(1);
   c.Start(AtSecond(10));
   c.writer.Tick(AtSecond(41));
@@ -279,9 +286,9 @@
   CHECK_FALSE(c.writer.idle());
 }
 
-// Guards against a burst of writes when the store returns, and against more
-// than the site's rate.
-TEST_CASE("writes are limited and back off with jitter") {
+// Guards against a burst of writes when the store becomes available again, and
+// against writes above the site's limit.
+TEST_CASE("the change writer keeps the rate limit and backs off with jitter") {
   std::set<Time> returns;
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     ChangeWriterFixture c(seed);
@@ -314,8 +321,6 @@
   CHECK(calls == 250);
 }
 
-// Waves, moves, retirement and lending on a site without random faults.
-
 SimOptions OptionsWithoutFaults(uint64_t seed = 7) {
   SimOptions options;
   options.seed = seed;
@@ -336,12 +341,12 @@
   CHECK(sim.violations.empty());
 }
 
-// Guards against a round that takes more than its limits, or that goes on
-// before the canary was healthy for its time.
-TEST_CASE("a wave keeps canary, rack, zone and pool limits and reports") {
+// Guards against a round that exceeds its limits, or that continues before the
+// canary has been healthy for its soak time.
+TEST_CASE("a wave keeps its canary, rack, zone and pool limits and reports") {
   SimOptions options = OptionsWithoutFaults();
   options.hosts_per_pool = 8;
-  // Once the rack limit binds, once the limits of zone and pool.
+  // With one rack the rack limit binds, with two the limits of zone and pool.
   uint32_t max_racks = GENERATE(1U, 2U);
   uint32_t wave_limit = 3 - max_racks;
   options.max_racks = max_racks;
@@ -384,7 +389,7 @@
   CHECK(canary_alone);
   CHECK(spare_first);
   CHECK(DescribeUnfinishedHosts(*sim.committed_state()).empty());
-  REQUIRE(sim.reports.size() == sim.procs.size());
+  REQUIRE(sim.reports.size() == sim.control_processes.size());
   CHECK(sim.reports[0].hosts_maintained + sim.reports[1].hosts_maintained ==
         24);
   CHECK_FALSE(sim.reports[0].partial);
@@ -393,8 +398,8 @@
   CheckNoViolations(sim);
 }
 
-// Guards against a round that goes on while hosts do not survive it.
-TEST_CASE("failures after reboot pause the wave until they are over") {
+// Guards against a round that continues while hosts fail after their reboot.
+TEST_CASE("failures after reboots pause the wave until the hosts recover") {
   FleetSim sim(OptionsWithoutFaults());
   sim.Run(AtSecond(30));
   sim.SetRound("m1");
@@ -413,7 +418,7 @@
   };
   sim.Run(AtSecond(300));
   REQUIRE(failed.size() == 3);
-  CHECK(sim.procs[0].controller->wave_paused());
+  CHECK(sim.control_processes[0].controller->wave_paused());
   uint64_t drains = sim.drains;
   sim.Run(AtSecond(520));
   CHECK(sim.drains == drains);
@@ -424,15 +429,16 @@
   CheckNoViolations(sim);
 }
 
-// Guards against reservations kept while losses take the budget.
-TEST_CASE("losses start nothing and give reservations back") {
+// Guards against drains that start or continue while lost hosts use up the
+// budget.
+TEST_CASE("while hosts are lost no drain starts and a drain is cancelled") {
   SimOptions options = OptionsWithoutFaults();
   options.control.wave.canary_soak = Seconds(0);
   options.max_racks = 3;
   FleetSim sim(options);
   sim.Run(AtSecond(30));
-  // Members of zone 0 stay busy: paused, so that no drain there ends.
-  for (FleetSim::EntryProcess& entry : sim.entries)
+  // Entry processes are paused, so that no drain is acknowledged.
+  for (FleetSim::EntryProcess& entry : sim.entry_processes)
     entry.paused_until = AtSecond(36);
   sim.EditHost(HostId("h100"),
                [](HostState* h) { h->wanted_pool = PoolId("b"); });
@@ -444,7 +450,7 @@
   sim.Run(AtSecond(36));
   CHECK(sim.committed_state()->FindHost(HostId("h100"))->phase ==
         HostPhase::kActive);
-  // Losses that come and go do not drain the host in turn.
+  // The drain does not restart as soon as the lost hosts return.
   sim.Run(AtSecond(60));
   CHECK(sim.drains == 1);
   sim.FailHost(HostId("h101"), Seconds(200));
@@ -462,9 +468,10 @@
   CheckNoViolations(sim);
 }
 
-// Guards against progress that only a controller's memory holds: each action of
-// a small wave with a move is once the last of its process.
-TEST_CASE("a controller killed at any step is continued from the log") {
+// Guards against progress that is only in a controller's memory: for each
+// action of a small wave with a move, a run kills the controller before or
+// after it.
+TEST_CASE("after a kill at any action work continues from the log") {
   uint64_t total = 0;
   for (uint64_t k = 0; k == 0 || k <= total; ++k) {
     for (bool after : {false, true}) {
@@ -490,15 +497,15 @@
   CHECK(total > 20);
 }
 
-// Guards against a paused process that acts on a lease it lost.
-TEST_CASE("a controller without a valid lease writes and asks nothing") {
+// Guards against a paused process that acts on a lease that has expired.
+TEST_CASE("a controller without a valid lease sends no actions") {
   FleetSim sim(OptionsWithoutFaults());
   sim.Run(AtSecond(20));
   sim.SetRound("m1");
   while (CountPhase(sim, HostPhase::kRebooting) == 0)
     sim.Run(sim.now() + Milliseconds(200));
-  for (FleetSim::ControlProcess& proc : sim.procs)
-    proc.paused_until = AtSecond(300);
+  for (FleetSim::ControlProcess& process : sim.control_processes)
+    process.paused_until = AtSecond(300);
   sim.Run(AtSecond(299));
   uint64_t actions = sim.actions;
   sim.store_up = false;
@@ -507,9 +514,9 @@
   CheckNoViolations(sim);
 }
 
-// Guards against a second round taken as done by the first one's reboot, when
-// the host did not serve in between.
-TEST_CASE("each reservation has its own reboot") {
+// Guards against a second round that counts as done by the reboot of the first,
+// if the host did not serve between the rounds.
+TEST_CASE("a host that stays drained is rebooted once for each round") {
   FleetSim sim(OptionsWithoutFaults());
   sim.EditHost(HostId("h112"),
                [](HostState* h) { h->intent = HostIntent::kDrain; });
@@ -524,7 +531,7 @@
   CheckNoViolations(sim);
 }
 
-// Guards against a budget that trusts old reports about a zone that the
+// Guards against a budget that relies on old health reports of a zone that the
 // platform cannot reach.
 TEST_CASE("hosts of a partitioned zone count as unavailable") {
   DrainGateFixture c;
@@ -549,28 +556,29 @@
     CHECK(budgets.unavailable(PoolId("a")) == (cut ? 1U : 0U));
     CHECK(budgets.MayMakeUnavailable(state.hosts[HostId("h2")]) == !cut);
   }
-  // A report from before a reboot says nothing about the host after it.
+  // A report made before a reboot does not count as health after it.
   const HostState& h2 = state.hosts[HostId("h2")];
   CHECK(health.HealthySince(AtSecond(113), h2, AtSecond(111)));
   CHECK_FALSE(health.HealthySince(AtSecond(113), h2, AtSecond(112)));
 }
 
-// Guards against writes of a holder whose lease was taken over: only the fence
-// rows tell it apart, since the head is current.
-TEST_CASE("a write with an old fence fails and is not repeated") {
+// Guards against writes of a controller whose lease another process has taken:
+// the head is current, so only the fence rows make the commit fail.
+TEST_CASE("a write with an outdated fence row fails and is not repeated") {
   SimOptions options = OptionsWithoutFaults();
-  options.controllers = 1;
+  options.control_process_count = 1;
   FleetSim sim(options);
   sim.Run(AtSecond(20));
   uint64_t sent = 0;
-  sim.intercept = [&](FleetSim::ControlProcess& proc, const StoreCall& call) {
+  sim.intercept = [&](FleetSim::ControlProcess& process,
+                      const StoreCall& call) {
     ++sent;
     Transaction steal{{99}, {}, {}};
     for (const char* pool : {"a", "b", "spare"})
       steal.writes.push_back({std::string("lease/") + pool, "thief"});
     sim.Apply(CommitRows{steal});
-    proc.next_poll = AtSecond(1000);
-    sim.Answer(proc, call.tag, sim.Apply(call.request), Milliseconds(5));
+    process.next_poll = AtSecond(1000);
+    sim.Answer(process, call.tag, sim.Apply(call.request), Milliseconds(5));
     return true;
   };
   sim.SetRound("m1");
@@ -578,17 +586,17 @@
   // One attempt for each of the three leases.
   CHECK(sent == 3);
   CHECK(sim.drains == 0);
-  CHECK(sim.procs[0].controller->fleet_counters().conflicts == 3);
+  CHECK(sim.control_processes[0].controller->fleet_counters().conflicts == 3);
 }
 
-// Guards against a partition that stops the wave elsewhere or moves hosts that
-// cannot be reached.
-TEST_CASE("hosts of a partitioned zone stay as they are, others go on") {
+// Guards against a partition that stops the wave in other zones, or during
+// which hosts of the partitioned zone are drained.
+TEST_CASE("a partition stops the wave only in the partitioned zone") {
   SimOptions options = OptionsWithoutFaults();
   options.pools = {"a", "spare"};
   options.hosts_per_pool = 12;
   options.max_unavailable = 6;
-  options.controllers = 3;
+  options.control_process_count = 3;
   options.control.wave.canary_soak = Seconds(5);
   FleetSim sim(options);
   sim.Run(AtSecond(20));
@@ -608,8 +616,9 @@
   CheckNoViolations(sim);
 }
 
-// Guards against a reboot under work that only the backend server knows of.
-TEST_CASE("running requests that a host reports keep it draining") {
+// Guards against a reboot that interrupts requests that only the backend server
+// knows of.
+TEST_CASE("a host keeps draining while its server reports requests") {
   FleetSim sim(OptionsWithoutFaults());
   sim.running[HostId("h100")] = 1;
   sim.EditHost(HostId("h100"),
@@ -620,7 +629,7 @@
   sim.running[id] = 0;
   sim.Run(AtSecond(110));
   CHECK(sim.committed_state()->FindHost(id)->phase == HostPhase::kDrained);
-  // A drain without purpose ends.
+  // A drain is cancelled when its reason is gone.
   sim.EditHost(HostId("h101"),
                [](HostState* h) { h->intent = HostIntent::kDrain; });
   sim.running[HostId("h101")] = 1;
@@ -633,15 +642,16 @@
         HostPhase::kActive);
 }
 
-// Guards against one drain that cannot be acknowledged stopping every zone.
-TEST_CASE("a wave goes on beside a drain that is stuck in a silent zone") {
+// Guards against a wave that stops in every zone because one drain cannot be
+// acknowledged.
+TEST_CASE("a drain stuck in a silent zone does not stop the wave elsewhere") {
   SimOptions options = OptionsWithoutFaults();
   options.max_unavailable = 4;
   options.max_racks = 1;
   FleetSim sim(options);
   sim.Run(AtSecond(20));
   sim.SetRound("m1");
-  for (FleetSim::EntryProcess& entry : sim.entries) {
+  for (FleetSim::EntryProcess& entry : sim.entry_processes) {
     if (entry.row.zone == ZoneId("z0"))
       entry.paused_until = AtSecond(900);
   }
@@ -654,7 +664,7 @@
   CheckNoViolations(sim);
 }
 
-TEST_CASE("hosts move, retire, and a closed service goes down to nothing") {
+TEST_CASE("hosts move and retire, and a closed pool is removed") {
   FleetSim sim(OptionsWithoutFaults());
   sim.Run(AtSecond(20));
   sim.EditHost(HostId("h100"),
@@ -668,8 +678,8 @@
   CHECK(moved->phase == HostPhase::kActive);
   CHECK(sim.committed_state()->FindHost(HostId("h106"))->phase ==
         HostPhase::kRetired);
-  // One host of the closed pool goes to another pool; the last one waits for
-  // the queue.
+  // One host of the closed pool moves to another pool; the last one stays until
+  // the queue is empty.
   sim.loads = {{PoolId("a"), 1, 5}};
   sim.EditHost(HostId("h101"),
                [](HostState* h) { h->wanted_pool = PoolId("b"); });
@@ -687,10 +697,10 @@
   CheckNoViolations(sim);
 }
 
-TEST_CASE("work is kept off hosts that are due soon") {
+TEST_CASE("due hosts and hosts with intent to drain count as due soon") {
   FleetSim sim(OptionsWithoutFaults());
   sim.Run(AtSecond(20));
-  const Controller& control = *sim.procs[0].controller;
+  const Controller& control = *sim.control_processes[0].controller;
   CHECK_FALSE(control.IsSoonDue(HostId("h100")));
   sim.EditHost(HostId("h110"),
                [](HostState* h) { h->intent = HostIntent::kDrain; });
@@ -700,8 +710,9 @@
   CHECK(control.IsSoonDue(HostId("h100")));
 }
 
-// Guards against lending that follows a peak too late or never ends.
-TEST_CASE("policies lend for a peak and take back after it") {
+// Guards against a policy that lends too late for a peak, or never takes hosts
+// back.
+TEST_CASE("policies lend hosts for a peak and take them back after it") {
   const LendingPolicy hysteresis = HysteresisLending{};
   const LendingPolicy ahead = PredictiveLending{
       .period = Seconds(300), .bins = 60, .lead_time = Seconds(60)};
--- a/radishmoor/fleet/testing/fleet_bench.cc
+++ b/radishmoor/fleet/testing/fleet_bench.cc
@@ -1,5 +1,6 @@
-// Compares lending policies and wave plans on a simulated site: buffer cost,
-// host moves, roll-out time of a full wave and unmet demand.
+// Compares lending policies and ways to run a wave on a simulated site: hosts
+// idle in the spare pool, host moves, roll-out time of a full wave and unmet
+// demand.
 //
 //   fleet_bench [--json]
 //
@@ -50,15 +51,16 @@
 }
 
 struct Measurements {
-  double buffer = 0;    // Mean hosts idle in the spare pool.
-  double moves = 0;     // Pool changes of hosts in the window.
-  double roll_out = 0;  // Seconds from naming the round to its last host.
-  double unmet = 0;     // Share of the demand, percent.
+  double buffer = 0;    // Mean number of hosts that serve in the spare pool.
+  double moves = 0;     // Hosts moved between pools in the measurement window.
+  double roll_out = 0;  // Seconds from the start of the round to its last host.
+  double unmet = 0;     // Unmet share of the demand, in percent.
 };
 
-// Each of four pools peaks in turn at 5 times its mean of 2.6 hosts, which is
-// more than its 10 hosts, and is at a twentieth of the mean between. The share
-// of time at the peak follows: 0.19 of the period.
+// Demand of four pools that peak in rotation. In its peak a pool demands 13
+// hosts, 5 times its mean of 2.6 and more than its own 10 hosts; outside the
+// peak it demands 0.13 hosts, a twentieth of the mean. With these values the
+// peak takes 0.19 of the period.
 class PeakingDemand {
  public:
   PeakingDemand(Duration period, uint64_t seed)
@@ -117,7 +119,7 @@
                             uint64_t seed) {
     SimOptions options;
     options.seed = seed;
-    options.controllers = 1;
+    options.control_process_count = 1;
     options.zones = site.zones;
     options.pools = site.pools;
     options.hosts_per_pool = 10;
@@ -141,7 +143,8 @@
       waiting_.push_back(id);
   }
 
-  // The baseline: an operator makes the next host due when the last is back.
+  // The baseline: an operator makes the next host due when the previous one has
+  // returned.
   void AdvanceOneHostWave() {
     const FleetState& state = *sim_.committed_state();
     if (state.rules.maintenance.empty() || waiting_.empty() || !Done())
@@ -189,7 +192,8 @@
   }
 
   uint64_t Moves() const {
-    return sim_.procs[0].controller->fleet_counters().moves - moves_before_;
+    return sim_.control_processes[0].controller->fleet_counters().moves -
+           moves_before_;
   }
 
   const Site& site_;
@@ -245,7 +249,7 @@
   for (const Site& site : kSites) {
     for (Duration period : {Seconds(60), Seconds(240)}) {
       for (const Variant& variant : Variants(period)) {
-        // The baseline's wave does not depend on the period.
+        // The baseline's wave does not depend on the period of the demand.
         if (variant.one_host_at_a_time && period == Seconds(60))
           continue;
         std::vector<Measurements> all;
@@ -257,8 +261,9 @@
   }
 }
 
-// Processor time of one decision at the design size: 1,100 hosts, 118 pools and
-// 396 members, with a round in progress.
+// Measures the wall time of one decision of a controller at the largest planned
+// size, with a round in progress: 1,062 hosts in 118 pools and 396 entry
+// processes.
 void RunDesignSize(bool json) {
   SimOptions options;
   options.pools.clear();
@@ -266,8 +271,8 @@
     options.pools.push_back("p" + std::to_string(100 + i));
   options.hosts_per_pool = 9;
   options.zones = 22;
-  options.entries_per_zone = 18;
-  options.controllers = 1;
+  options.entry_processes_per_zone = 18;
+  options.control_process_count = 1;
   options.sends = 0;
   options.step = Seconds(1);
   FleetSim sim(options);
@@ -276,7 +281,7 @@
   sim.Run(kTimeZero + Seconds(50));
   auto start = std::chrono::steady_clock::now();
   for (int i = 0; i < 200; ++i)
-    sim.procs[0].controller->Tick(sim.now());
+    sim.control_processes[0].controller->Tick(sim.now());
   std::chrono::duration<double, std::milli> spent =
       std::chrono::steady_clock::now() - start;
   std::printf(json ? "{\"design_size_hosts\":%zu,\"tick_ms\":%.3f}\n"
--- a/radishmoor/fleet/testing/fleet_sim.h
+++ b/radishmoor/fleet/testing/fleet_sim.h
@@ -1,7 +1,9 @@
-// Virtual-time model of a site for tests and benches of the fleet controller:
-// control processes with leases, entry processes that follow the send rules of
-// docs/design.md 6.3, one MemoryTable, and a platform that reboots hosts. Each
-// committed change and each send is checked by an oracle that sees everything.
+// Simulated site in virtual time for tests and benches of the fleet controller:
+// control processes with leases, entry processes, one MemoryTable, and a
+// platform that reboots hosts. An entry process sends to hosts of its own zone
+// under any view, and to hosts of other zones only while its view is at most 5
+// s old. The simulation checks each committed change, reboot and send against
+// the state of the whole site.
 
 #ifndef RADISHMOOR_FLEET_TESTING_FLEET_SIM_H_
 #define RADISHMOOR_FLEET_TESTING_FLEET_SIM_H_
@@ -26,21 +28,22 @@
   bool store_down = false;
   bool store_slow = false;
   bool lost_answers = false;
-  bool pauses = false;  // Control and entry processes stop for minutes.
-  bool kills = false;   // Control and entry processes are killed.
-  bool partitions = false;
-  bool racks = false;
-  bool reboots_fail = false;
-  bool platform_drops = false;  // Actions and results are lost or repeated.
-  bool operators = false;
+  bool pauses = false;        // Control and entry processes stop for minutes.
+  bool kills = false;         // Control and entry processes are killed.
+  bool partitions = false;    // Zones lose the platform and the table service.
+  bool rack_outages = false;  // All hosts of a rack fail.
+  bool reboots_fail = false;  // Hosts stay down for 90 s after a reboot.
+  bool platform_loses_or_repeats =
+      false;                      // Actions and results are lost or repeated.
+  bool operator_changes = false;  // Operators change the configuration.
 };
 
 struct SimOptions {
   uint64_t seed = 1;
   SimFaults faults;
-  int controllers = 2;
+  int control_process_count = 2;
   int zones = 3;
-  int entries_per_zone = 2;
+  int entry_processes_per_zone = 2;
   std::vector<std::string> pools{"a", "b", "spare"};
   int hosts_per_pool = 6;
   uint32_t max_unavailable = 2;
@@ -48,7 +51,7 @@
   uint32_t max_racks = 2;
   Duration reboot_time = Seconds(20);
   Duration step = Milliseconds(200);
-  double sends = 2;  // Mean requests for each entry process and step.
+  double sends = 2;  // Mean number of requests per entry process and step.
   Duration max_request_time = Seconds(20);
   ControllerOptions control;
 };
@@ -59,18 +62,19 @@
     MemberId id;
     ZoneId zone;
     std::unique_ptr<Controller> controller;
-    uint64_t generation = 0;
+    uint64_t generation = 0;  // Incremented by each start and kill.
     bool alive = true;
     Time paused_until{};
     Time next_poll{};
     Time renewed_at{};
     RowVersion member_row = 0;
     std::map<PoolId, RowVersion> leases;
+    // Version of each member row and when this process first saw it.
     std::map<std::string, std::pair<RowVersion, Time>> row_changes;
   };
 
   struct EntryProcess {
-    MemberView row;  // As it would be written now.
+    MemberView row;  // Content for the next write of the member row.
     bool alive = true;
     bool row_changed = true;
     Time paused_until{};
@@ -78,7 +82,7 @@
     Time next_renewal{};
     std::shared_ptr<const FleetState> view;
     Time view_sent{};
-    std::map<HostId, std::vector<Time>> in_flight;  // Ends of requests.
+    std::map<HostId, std::vector<Time>> in_flight;  // When requests end.
   };
 
   explicit FleetSim(SimOptions options)
@@ -88,7 +92,7 @@
     BuildSite();
   }
 
-  // Runs until `end`. Faults start only before `faults_end`.
+  // Runs until `end`. Injects faults only before `faults_end`.
   void Run(Time end, Time faults_end = kTimeZero) {
     while (now_ < end) {
       now_ += options_.step;
@@ -98,16 +102,16 @@
       }
       if (now_ < faults_end)
         InjectFaults();
-      for (EntryProcess& entry : entries)
+      for (EntryProcess& entry : entry_processes)
         StepEntryProcess(entry);
-      for (ControlProcess& proc : procs)
-        StepControlProcess(proc);
+      for (ControlProcess& process : control_processes)
+        StepControlProcess(process);
       if (on_step)
         on_step();
     }
   }
 
-  // A change by an operator, committed at once.
+  // Commits a change by an operator at once.
   void CommitOperatorChange(
       const std::function<void(FleetState*, ConfigDelta*)>& edit) {
     FleetState next = *committed_state();
@@ -147,7 +151,7 @@
     if (outage.until <= now_)
       outage.since = now_;
     outage.until = std::max(outage.until, now_ + time);
-    for (EntryProcess& entry : entries)
+    for (EntryProcess& entry : entry_processes)
       entry.in_flight.erase(id);
   }
   void FailRack(const RackId& rack, Duration time) {
@@ -162,17 +166,17 @@
       outage.since = now_;
     outage.until = std::max(outage.until, now_ + time);
   }
-  void KillControlProcess(ControlProcess& proc, Duration time) {
-    proc.alive = false;
-    proc.controller.reset();
-    uint64_t generation = ++proc.generation;
-    Schedule(time, [this, &proc, generation] {
-      if (proc.generation == generation)
-        StartControlProcess(proc);
+  void KillControlProcess(ControlProcess& process, Duration time) {
+    process.alive = false;
+    process.controller.reset();
+    uint64_t generation = ++process.generation;
+    Schedule(time, [this, &process, generation] {
+      if (process.generation == generation)
+        StartControlProcess(process);
     });
   }
-  // The host list shows the end after a lag. `replaced` gives the entry host a
-  // new instance; otherwise only the process starts again.
+  // Restarts the process after `time`. If `replaced`, its host gets a new
+  // instance, and the host list shows the old one as terminated after 20 s.
   void KillEntryProcess(EntryProcess& entry, Duration time, bool replaced) {
     entry.alive = false;
     entry.in_flight.clear();
@@ -207,7 +211,7 @@
   }
   uint32_t InFlight(const HostId& id) const {
     uint32_t count = 0;
-    for (const EntryProcess& entry : entries) {
+    for (const EntryProcess& entry : entry_processes) {
       auto it = entry.in_flight.find(id);
       if (it == entry.in_flight.end())
         continue;
@@ -216,7 +220,7 @@
     }
     return count;
   }
-  // Hosts of the pool that could serve now.
+  // Number of hosts of the pool that are active and not down.
   uint32_t Serving(const PoolId& pool) const {
     uint32_t count = 0;
     for (const auto& [id, host] : committed_state()->hosts) {
@@ -228,24 +232,27 @@
     return count;
   }
 
-  std::vector<ControlProcess> procs;
-  std::vector<EntryProcess> entries;
+  std::vector<ControlProcess> control_processes;
+  std::vector<EntryProcess> entry_processes;
   MemoryTable table;
   std::vector<std::string> violations;
   std::vector<WaveReport> reports;
   std::vector<TimelineEvent> events;
   std::vector<PoolLoad> loads;
   std::function<void()> on_step;
-  // Replaces the store's reply to a commit when set; for scripted tests.
+  // If set, called for each call to the store; returns true if it has handled
+  // the call itself.
   std::function<bool(ControlProcess&, const StoreCall&)> intercept;
-  // Kills the process at this action, counted over all; 0: never.
+  // Kills the control process that performs the action with this number,
+  // counted from 1 over all control processes; 0 means never. The kill comes
+  // before the action, or after it if `kill_after_action`.
   uint64_t kill_at_action = 0;
   bool kill_after_action = false;
   uint64_t actions = 0;
   uint64_t sends = 0;
   uint64_t drains = 0;
   std::map<HostId, uint64_t> reboots;
-  std::map<HostId, uint32_t> running;  // As the backend servers report it.
+  std::map<HostId, uint32_t> running;  // As reported by the backend servers.
   bool store_up = true;
 
  private:
@@ -292,32 +299,34 @@
     t.writes.push_back({ConfigDeltaKey(1), EncodeDelta(delta)});
     table.Handle(CommitRows{t});
     ApplyCommittedDeltas();
-    for (int i = 0; i < options_.zones * options_.entries_per_zone; ++i) {
+    for (int i = 0; i < options_.zones * options_.entry_processes_per_zone;
+         ++i) {
       EntryProcess entry;
       entry.row.id = MemberId("e" + std::to_string(i));
       entry.row.incarnation = {1};
       entry.row.zone = ZoneId("z" + std::to_string(i % options_.zones));
       entry.row.host = "eh" + std::to_string(i);
       entry.row.host_instance = 1;
-      entries.push_back(std::move(entry));
+      entry_processes.push_back(std::move(entry));
     }
-    procs.resize(options_.controllers);
-    for (int i = 0; i < options_.controllers; ++i) {
-      procs[i].id = MemberId("c" + std::to_string(i));
-      procs[i].zone = ZoneId("z" + std::to_string(i % options_.zones));
-      StartControlProcess(procs[i]);
+    control_processes.resize(options_.control_process_count);
+    for (int i = 0; i < options_.control_process_count; ++i) {
+      control_processes[i].id = MemberId("c" + std::to_string(i));
+      control_processes[i].zone =
+          ZoneId("z" + std::to_string(i % options_.zones));
+      StartControlProcess(control_processes[i]);
     }
   }
 
-  void StartControlProcess(ControlProcess& proc) {
-    ++proc.generation;
-    proc.alive = true;
-    proc.member_row = 0;
-    proc.leases.clear();
-    proc.row_changes.clear();
-    proc.renewed_at = Time{} - Seconds(100);
-    proc.controller =
-        std::make_unique<Controller>(options_.control, proc.id, random_.Next());
+  void StartControlProcess(ControlProcess& process) {
+    ++process.generation;
+    process.alive = true;
+    process.member_row = 0;
+    process.leases.clear();
+    process.row_changes.clear();
+    process.renewed_at = Time{} - Seconds(100);
+    process.controller = std::make_unique<Controller>(
+        options_.control, process.id, random_.Next());
   }
 
   bool Reachable(const ZoneId& zone) const {
@@ -335,23 +344,25 @@
       store_up = false;
       Schedule(random_.Exponential(Seconds(25)), [this] { store_up = true; });
     }
-    ControlProcess& proc = procs[random_.Below(procs.size())];
-    EntryProcess& entry = entries[random_.Below(entries.size())];
+    ControlProcess& process =
+        control_processes[random_.Below(control_processes.size())];
+    EntryProcess& entry =
+        entry_processes[random_.Below(entry_processes.size())];
     if (happens(f.pauses, 60))
-      proc.paused_until = now_ + random_.Exponential(Seconds(60));
+      process.paused_until = now_ + random_.Exponential(Seconds(60));
     if (happens(f.pauses, 60))
       entry.paused_until = now_ + random_.Exponential(Seconds(60));
-    if (happens(f.kills, 60) && proc.alive)
-      KillControlProcess(proc, random_.Exponential(Seconds(20)));
+    if (happens(f.kills, 60) && process.alive)
+      KillControlProcess(process, random_.Exponential(Seconds(20)));
     if (happens(f.kills, 60) && entry.alive)
       KillEntryProcess(entry, random_.Exponential(Seconds(40)),
                        random_.Chance(0.5));
     const HostState& host = RandomHost();
     if (happens(f.partitions, 120))
       Partition(host.zone, random_.Exponential(Seconds(60)));
-    if (happens(f.racks, 120))
+    if (happens(f.rack_outages, 120))
       FailRack(host.rack, random_.Exponential(Seconds(60)));
-    if (happens(f.operators, 20))
+    if (happens(f.operator_changes, 20))
       RandomEdit();
   }
 
@@ -383,8 +394,6 @@
     }
   }
 
-  // Entry processes.
-
   void StepEntryProcess(EntryProcess& entry) {
     for (auto& [id, ends] : entry.in_flight)
       std::erase_if(ends, [&](Time end) { return end <= now_; });
@@ -399,7 +408,7 @@
       entry.row_changed = false;
       entry.next_renewal = now_ + Seconds(3);
     }
-    // A view counts only when its read was sent after the registration.
+    // A process uses only a view that it read after its registration.
     if (reachable && now_ >= entry.next_poll && !entry.row_changed) {
       entry.next_poll = now_ + Seconds(1);
       entry.view = committed_state();
@@ -439,9 +448,9 @@
     bool open = committed && (committed->phase == HostPhase::kActive ||
                               committed->phase == HostPhase::kDraining);
     RecordViolationUnless(
-        open, "send to host that is not in service " + host.id.str());
+        open, "send to a host that is not in service: " + host.id.str());
     RecordViolationUnless(!committed || committed->epoch == host.epoch,
-                          "send under an old epoch " + host.id.str());
+                          "send under an old epoch: " + host.id.str());
     if (IsDown(host.id))
       return;
     Duration time = random_.Chance(0.03)
@@ -451,7 +460,7 @@
     entry.in_flight[host.id].push_back(now_ + time);
   }
 
-  // Rows hold an index into `row_contents_` in place of an encoding.
+  // The row's value is an index into `row_contents_`, not an encoding.
   void WriteRow(const std::string& key, const MemberView& content) {
     row_contents_.push_back(content);
     Transaction t{{random_.Next()}, {}, {}};
@@ -459,43 +468,41 @@
     table.Handle(CommitRows{t});
   }
 
-  // Control processes.
-
-  void StepControlProcess(ControlProcess& proc) {
-    if (!proc.alive || now_ < proc.paused_until)
+  void StepControlProcess(ControlProcess& process) {
+    if (!process.alive || now_ < process.paused_until)
       return;
-    ConfigVersion before = proc.controller->state().version;
-    if (now_ >= proc.next_poll)
-      ReadInputs(proc);
-    if (proc.alive)
-      Perform(proc, proc.controller->Tick(now_));
+    ConfigVersion before = process.controller->state().version;
+    if (now_ >= process.next_poll)
+      ReadInputs(process);
+    if (process.alive)
+      Perform(process, process.controller->Tick(now_));
     RecordViolationUnless(
-        !proc.alive || proc.controller->state().version >= before,
-        "controller's version went back");
+        !process.alive || process.controller->state().version >= before,
+        "version of the controller's state decreased");
   }
 
-  void ReadInputs(ControlProcess& proc) {
-    proc.next_poll = now_ + Seconds(1);
-    uint64_t generation = proc.generation;
+  void ReadInputs(ControlProcess& process) {
+    process.next_poll = now_ + Seconds(1);
+    uint64_t generation = process.generation;
     auto pass = [&](auto&& method, auto&&... args) {
-      if (proc.generation == generation)
-        Perform(proc, ((*proc.controller).*method)(now_, args...));
+      if (process.generation == generation)
+        Perform(process, ((*process.controller).*method)(now_, args...));
     };
     pass(&Controller::SetHealth, Observations());
     pass(&Controller::SetLoads, loads);
-    if (!Reachable(proc.zone))
+    if (!Reachable(process.zone))
       return;
-    if (now_ - proc.renewed_at >= Seconds(3)) {
+    if (now_ - process.renewed_at >= Seconds(3)) {
       MemberView row;
-      row.id = proc.id;
+      row.id = process.id;
       row.role = MemberRole::kControl;
-      WriteRow("member/" + proc.id.str(), row);
-      proc.member_row = RowOf("member/" + proc.id.str()).version;
-      proc.renewed_at = now_;
+      WriteRow("member/" + process.id.str(), row);
+      process.member_row = RowOf("member/" + process.id.str()).version;
+      process.renewed_at = now_;
     }
     MemberList list{now_, {}};
     for (const Row& row : Scan("member/")) {
-      auto& [version, changed] = proc.row_changes[row.key];
+      auto& [version, changed] = process.row_changes[row.key];
       if (version != row.version) {
         version = row.version;
         changed = now_;
@@ -503,47 +510,49 @@
       list.members.push_back(row_contents_[std::stoul(row.value)]);
       list.members.back().last_change = changed;
     }
-    AcquireLeases(proc);
-    pass(&Controller::SetLeases, HeldLeases(proc));
+    AcquireLeases(process);
+    pass(&Controller::SetLeases, HeldLeases(process));
     pass(&Controller::SetConfig, *committed_state(), HeadRowVersion(),
          ConfigVersion{0});
     pass(&Controller::SetMembers, list);
-    // The list lags in both directions: sometimes an older prefix is shown.
+    // The host list sometimes falls back to an older state.
     std::vector<HostListEntry> hosts = host_list_;
     if (!hosts.empty() && random_.Chance(0.5))
       hosts.pop_back();
     pass(&Controller::SetHostList, hosts);
   }
 
-  void AcquireLeases(ControlProcess& proc) {
-    proc.leases.clear();
+  void AcquireLeases(ControlProcess& process) {
+    process.leases.clear();
     size_t position = 0;
     for (const auto& [id, pool] : committed_state()->pools) {
       std::string key = "lease/" + id.str();
       Row row = RowOf(key);
       std::string holder = "member/" + row.value;
-      bool preferred = &procs[position++ % procs.size()] == &proc;
-      bool silent = row.version == 0
-                        ? preferred || now_ > kTimeZero + Seconds(30)
-                        : now_ - proc.row_changes[holder].second > Seconds(12);
-      if (row.value != proc.id.str() && silent) {
+      bool preferred =
+          &control_processes[position++ % control_processes.size()] == &process;
+      bool silent =
+          row.version == 0
+              ? preferred || now_ > kTimeZero + Seconds(30)
+              : now_ - process.row_changes[holder].second > Seconds(12);
+      if (row.value != process.id.str() && silent) {
         Transaction t{{random_.Next()}, {{key, row.version}}, {}};
-        t.writes.push_back({key, proc.id.str()});
+        t.writes.push_back({key, process.id.str()});
         table.Handle(CommitRows{t});
         row = RowOf(key);
       }
-      if (row.value == proc.id.str())
-        proc.leases[id] = row.version;
+      if (row.value == process.id.str())
+        process.leases[id] = row.version;
     }
   }
 
-  std::vector<PoolLease> HeldLeases(const ControlProcess& proc) const {
+  std::vector<PoolLease> HeldLeases(const ControlProcess& process) const {
     std::vector<PoolLease> leases;
-    for (const auto& [pool, version] : proc.leases) {
+    for (const auto& [pool, version] : process.leases) {
       leases.push_back({pool,
-                        proc.renewed_at + Seconds(10),
+                        process.renewed_at + Seconds(10),
                         {{"lease/" + pool.str(), version},
-                         {"member/" + proc.id.str(), proc.member_row}}});
+                         {"member/" + process.id.str(), process.member_row}}});
     }
     return leases;
   }
@@ -565,7 +574,7 @@
     return result;
   }
 
-  void Perform(ControlProcess& proc, std::vector<FleetAction> list) {
+  void Perform(ControlProcess& process, std::vector<FleetAction> list) {
     for (FleetAction& action : list) {
       if (auto* event = std::get_if<TimelineEvent>(&action)) {
         events.push_back(*event);
@@ -577,41 +586,43 @@
       }
       bool kill = ++actions == kill_at_action;
       if (!kill || kill_after_action)
-        PerformAction(proc, action);
+        PerformAction(process, action);
       if (kill) {
-        KillControlProcess(proc, Seconds(5));
+        KillControlProcess(process, Seconds(5));
         return;
       }
     }
   }
 
-  void PerformAction(ControlProcess& proc, const FleetAction& action) {
+  void PerformAction(ControlProcess& process, const FleetAction& action) {
     if (const auto* call = std::get_if<StoreCall>(&action)) {
-      if (!intercept || !intercept(proc, *call))
-        CallStore(proc, *call);
+      if (!intercept || !intercept(process, *call))
+        CallStore(process, *call);
       return;
     }
     int copies = 1;
-    if (options_.faults.platform_drops && now_ < kFaultsUntil)
+    if (options_.faults.platform_loses_or_repeats && now_ < kFaultsUntil)
       copies = static_cast<int>(random_.Below(3));
     for (int i = 0; i < copies; ++i) {
-      Schedule(random_.Between(Milliseconds(100), Milliseconds(900)),
-               [this, &proc, action] { PerformPlatformAction(proc, action); });
+      Schedule(
+          random_.Between(Milliseconds(100), Milliseconds(900)),
+          [this, &process, action] { PerformPlatformAction(process, action); });
     }
   }
 
  public:
-  void Answer(ControlProcess& proc,
+  void Answer(ControlProcess& process,
               uint64_t tag,
               StoreReply reply,
               Duration delay) {
-    uint64_t generation = proc.generation;
-    Schedule(delay, [this, &proc, generation, tag, reply] {
-      if (proc.generation != generation)
+    uint64_t generation = process.generation;
+    Schedule(delay, [this, &process, generation, tag, reply] {
+      if (process.generation != generation)
         return;
-      if (now_ < proc.paused_until)
-        return Answer(proc, tag, reply, proc.paused_until - now_);
-      Perform(proc, proc.controller->Handle(now_, StoreAnswer{tag, reply}));
+      if (now_ < process.paused_until)
+        return Answer(process, tag, reply, process.paused_until - now_);
+      Perform(process,
+              process.controller->Handle(now_, StoreAnswer{tag, reply}));
     });
   }
   StoreReply Apply(const StoreRequest& request) {
@@ -621,53 +632,54 @@
   }
 
  private:
+  // The store and the platform lose or repeat messages only before this time.
   static constexpr Time kFaultsUntil = kTimeZero + Seconds(600);
 
-  void CallStore(ControlProcess& proc, const StoreCall& call) {
-    if (!Reachable(proc.zone))
-      return Answer(proc, call.tag, UnavailableReply{}, Milliseconds(50));
+  void CallStore(ControlProcess& process, const StoreCall& call) {
+    if (!Reachable(process.zone))
+      return Answer(process, call.tag, UnavailableReply{}, Milliseconds(50));
     bool lose = options_.faults.lost_answers && now_ < kFaultsUntil;
     double draw = lose ? random_.Unit() : 1;
-    if (draw < 0.1) {  // Took effect; the answer is lost.
+    if (draw < 0.1) {  // The call takes effect, but its answer is lost.
       Apply(call.request);
-      return Answer(proc, call.tag, UnknownReply{}, Seconds(1));
+      return Answer(process, call.tag, UnknownReply{}, Seconds(1));
     }
-    if (draw < 0.2) {  // Takes effect after the answer was given up.
+    if (draw < 0.2) {  // The call takes effect after it has timed out.
       Schedule(random_.Between(Seconds(1), Seconds(20)),
                [this, call] { Apply(call.request); });
-      return Answer(proc, call.tag, UnknownReply{}, Seconds(1));
+      return Answer(process, call.tag, UnknownReply{}, Seconds(1));
     }
-    if (draw < 0.3)  // Never takes effect.
-      return Answer(proc, call.tag, UnknownReply{}, Seconds(1));
+    if (draw < 0.3)  // The call never takes effect.
+      return Answer(process, call.tag, UnknownReply{}, Seconds(1));
     if (!options_.faults.store_slow || now_ >= kFaultsUntil)
-      return Answer(proc, call.tag, Apply(call.request), Milliseconds(5));
-    uint64_t generation = proc.generation;
-    Schedule(random_.Exponential(Seconds(2)), [this, &proc, generation, call] {
-      StoreReply reply = Apply(call.request);
-      if (proc.generation == generation)
-        Answer(proc, call.tag, reply, random_.Exponential(Seconds(2)));
-    });
+      return Answer(process, call.tag, Apply(call.request), Milliseconds(5));
+    uint64_t generation = process.generation;
+    Schedule(
+        random_.Exponential(Seconds(2)), [this, &process, generation, call] {
+          StoreReply reply = Apply(call.request);
+          if (process.generation == generation)
+            Answer(process, call.tag, reply, random_.Exponential(Seconds(2)));
+        });
   }
 
-  // The platform.
-
-  void PerformPlatformAction(ControlProcess& proc, const FleetAction& action) {
+  void PerformPlatformAction(ControlProcess& process,
+                             const FleetAction& action) {
     if (const auto* a = std::get_if<CheckpointTasks>(&action)) {
       ConfigVersion& key = platform_[a->host].checkpoint_key;
       key = std::max(key, a->key);
       return SendPlatformResult(
-          proc, {a->host, PlatformResultKind::kTasksCheckpointed, a->key});
+          process, {a->host, PlatformResultKind::kTasksCheckpointed, a->key});
     }
     if (const auto* a = std::get_if<AdmitHost>(&action)) {
       PlatformHost& host = platform_[a->host];
       host.epoch = std::max(host.epoch, a->key);
       return SendPlatformResult(
-          proc, {a->host, PlatformResultKind::kAdmitted, a->key});
+          process, {a->host, PlatformResultKind::kAdmitted, a->key});
     }
-    Reboot(proc, std::get<RebootHost>(action));
+    Reboot(process, std::get<RebootHost>(action));
   }
 
-  void Reboot(ControlProcess& proc, const RebootHost& action) {
+  void Reboot(ControlProcess& process, const RebootHost& action) {
     PlatformHost& host = platform_[action.host];
     PlatformResult done{action.host, PlatformResultKind::kRebootFinished,
                         action.key};
@@ -675,16 +687,17 @@
       return;
     if (action.key == host.reboot_key) {
       if (host.done)
-        SendPlatformResult(proc, done);
+        SendPlatformResult(process, done);
       return;
     }
     const HostState* committed = committed_state()->FindHost(action.host);
     RecordViolationUnless(committed &&
                               committed->phase == HostPhase::kRebooting &&
                               committed->drain_version == action.key,
-                          "reboot without reservation " + action.host.str());
-    RecordViolationUnless(InFlight(action.host) == 0,
-                          "reboot with live work " + action.host.str());
+                          "reboot without a reservation: " + action.host.str());
+    RecordViolationUnless(
+        InFlight(action.host) == 0,
+        "reboot with requests in flight: " + action.host.str());
     RecordViolationUnless(reboots_.insert({action.host, action.key}).second,
                           "two reboots for one reservation");
     ++reboots[action.host];
@@ -692,25 +705,23 @@
     Duration time = options_.reboot_time;
     bool fails = options_.faults.reboots_fail && random_.Chance(0.2);
     FailHost(action.host, fails ? time + Seconds(90) : time);
-    Schedule(time, [this, &proc, done] {
+    Schedule(time, [this, &process, done] {
       platform_[done.host].done = true;
-      SendPlatformResult(proc, done);
+      SendPlatformResult(process, done);
     });
   }
 
-  void SendPlatformResult(ControlProcess& proc, PlatformResult result) {
-    if (!proc.alive)
+  void SendPlatformResult(ControlProcess& process, PlatformResult result) {
+    if (!process.alive)
       return;
-    uint64_t generation = proc.generation;
-    Duration wait = std::max(proc.paused_until - now_, Milliseconds(10));
-    Schedule(wait, [this, &proc, generation, result] {
-      if (proc.generation == generation && proc.alive)
-        Perform(proc, proc.controller->Handle(now_, result));
+    uint64_t generation = process.generation;
+    Duration wait = std::max(process.paused_until - now_, Milliseconds(10));
+    Schedule(wait, [this, &process, generation, result] {
+      if (process.generation == generation && process.alive)
+        Perform(process, process.controller->Handle(now_, result));
     });
   }
 
-  // The log and its oracle.
-
   Row RowOf(const std::string& key) {
     return std::get<RowsReply>(table.Handle(ReadRows{{key}})).rows[0];
   }
@@ -727,7 +738,7 @@
       auto next = std::make_shared<FleetState>(*committed_state());
       next->Apply(delta);
       RecordViolationUnless(operations_.insert(delta.operation).second,
-                            "operation repeated");
+                            "operation id committed twice");
       if (delta.author != "operator" && delta.version > 1)
         CheckChange(*committed_state(), *next, delta);
       history_.push_back(std::move(next));
@@ -743,34 +754,35 @@
       if (host.phase == HostPhase::kDraining) {
         ++drains;
         RecordViolationUnless(old.phase == HostPhase::kActive,
-                              "drain of a drained host");
+                              "drain of a host that is not active");
         CheckBudget(after, host.pool);
       }
       if (old.phase == HostPhase::kDraining &&
           host.phase == HostPhase::kDrained) {
         RecordViolationUnless(
             platform_[host.id].checkpoint_key == old.drain_version,
-            "drained before the checkpoint of tasks " + name);
+            "drained before the checkpoint of tasks: " + name);
       }
       if (host.phase == HostPhase::kDrained)
         RecordViolationUnless(InFlight(host.id) == 0,
-                              "drained with work in flight " + name);
+                              "drained with requests in flight: " + name);
       if (host.pool != old.pool) {
         RecordViolationUnless(
             old.phase == HostPhase::kDrained && host.epoch == old.epoch + 1,
-            "pool changed in service " + name);
+            "pool changed while in service or without a new epoch: " + name);
       }
       if (host.phase == HostPhase::kActive &&
           old.phase == HostPhase::kDrained) {
         RecordViolationUnless(platform_[host.id].epoch == host.epoch,
-                              "not admitted " + name);
+                              "active without admission: " + name);
       }
     }
   }
 
-  // Counts what every controller must know: phases by the log and hosts that
-  // were lost a minute ago or earlier, which exceeds the age of an observation
-  // plus the longest delay of a write.
+  // Counts the hosts that every controller must know to be unavailable: those
+  // out of service by the configuration log, and those lost for more than 60 s,
+  // which exceeds the largest age of an observation plus the longest delay of a
+  // write.
   void CheckBudget(const FleetState& state, const PoolId& pool) {
     const PoolState& rules = *state.FindPool(pool);
     uint32_t out = 0;
--- a/radishmoor/fleet/types.h
+++ b/radishmoor/fleet/types.h
@@ -1,9 +1,9 @@
-// Inputs, actions and figures of the fleet controller.
+// Inputs, actions and counters of the fleet controller.
 //
-// The wiring fills the inputs from the configuration view, from the member rows
-// and leases of the table service, from the platform's host list and from the
-// health that entry processes report. It carries out the actions and returns
-// their results.
+// The control process fills the inputs from the configuration view, from the
+// member rows and leases of the table service, from the platform's host list
+// and from the health of hosts that it observes. It carries out the actions and
+// returns their results.
 
 #ifndef RADISHMOOR_FLEET_TYPES_H_
 #define RADISHMOOR_FLEET_TYPES_H_
@@ -23,27 +23,27 @@
 
 namespace radishmoor {
 
-// Inputs.
-
-// Content of one `member/<id>` row.
+// Content of one `member/<id>` row: a process that has registered itself.
 struct MemberView {
   MemberId id;
   Incarnation incarnation;
   MemberRole role = MemberRole::kEntry;
   ZoneId zone;
-  // Name and instance in the platform's host list of the entry host that the
-  // process runs on. An empty name means that the list proves nothing for it.
+  // Name and instance, in the platform's host list, of the host that the
+  // process runs on. With an empty name the list cannot prove that the process
+  // ended.
   std::string host;
   uint64_t host_instance = 0;
   ConfigVersion version_in_force = 0;
   // Draining hosts on which the process still has requests in flight.
   std::vector<HostId> busy;
-  // When this process last saw the row change, by its own clock.
+  // When the observing process last saw the row change, by its own clock.
   Time last_change{};
 };
 
-// All member rows. Every row must have been read at or after `read_started`; a
-// drain gate ignores a list whose reading began before the drain was known.
+// All member rows. Every row must have been read at or after `read_started`.
+// The drain gate does not use a list whose read began before it knew of the
+// drain.
 struct MemberList {
   Time read_started{};
   std::vector<MemberView> members;
@@ -55,49 +55,51 @@
 struct HostObservation {
   HostId host;
   HostHealth health = HostHealth::kUnknown;
-  // Requests running according to the backend server itself, when it reports
-  // them. A host with running requests is never rebooted.
+  // Number of running requests that the backend server itself reports, if it
+  // does. A host with running requests is never rebooted.
   std::optional<uint32_t> running;
   Time observed_at{};
 };
 
-// A pool lease that this process holds. `fences` are the rows (lease and own
-// member row) that each write for the pool must expect. `valid_until` is by
-// this process's own clock.
+// A pool lease that this process holds. `fences` are the rows (the lease and
+// the process's own member row) that each write for the pool must expect at the
+// given versions. `valid_until` is by this process's own clock.
 struct PoolLease {
   PoolId pool;
   Time valid_until{};
   std::vector<RowExpectation> fences;
 };
 
-// Load of a pool, in units of the capacity of one host.
+// Load of a pool.
 struct PoolLoad {
   PoolId pool;
-  double demand = 0;    // Hosts that the offered load would keep busy.
+  double demand = 0;    // Number of hosts that the offered load keeps busy.
   uint64_t queued = 0;  // Requests waiting in the queues of all entry hosts.
 };
 
-// Actions. The platform treats each as idempotent: a repeat with the same key
-// has no further effect, and one with an older key for the host is ignored.
+// The actions for the platform (CheckpointTasks, RebootHost, AdmitHost) are
+// idempotent: a repeat with the same key has no further effect, and the
+// platform ignores an action whose key is older than the last one for the host.
 
-// Checkpoints and stops the platform's own tasks on the host. Key: drain
-// version. Answered by kTasksCheckpointed, at once when there are no tasks.
+// Checkpoints and stops the platform's own tasks on the host. The key is the
+// host's drain version. Answered by kTasksCheckpointed, at once if there are no
+// tasks.
 struct CheckpointTasks {
   HostId host;
   ConfigVersion key = 0;
 };
 
-// Reboots the host for a maintenance round. Key: version of the change to
-// kRebooting. Answered by kRebootStarted, then kRebootFinished or
-// kRebootFailed.
+// Reboots the host for a maintenance round. The key is the configuration
+// version of the change to kRebooting. Answered by kRebootStarted, then
+// kRebootFinished or kRebootFailed.
 struct RebootHost {
   HostId host;
   ConfigVersion key = 0;
   std::string round;
 };
 
-// Lets the host's backend server serve `pool`. Key: epoch. Answered by
-// kAdmitted.
+// Lets the host's backend server serve `pool`. The key is the host's epoch.
+// Answered by kAdmitted.
 struct AdmitHost {
   HostId host;
   PoolId pool;
@@ -115,14 +117,14 @@
 struct PlatformResult {
   HostId host;
   PlatformResultKind kind = PlatformResultKind::kRebootStarted;
-  uint64_t key = 0;           // That of the action.
+  uint64_t key = 0;           // Key of the action.
   uint64_t requests_cut = 0;  // Requests that the reboot interrupted.
 };
 
-// Summary of a maintenance round, once no host is due any more.
+// Summary of a maintenance round, sent once no host is due any more.
 struct WaveReport {
   std::string round;
-  // From the first sight of the round by this process.
+  // Time from when this process first saw the round to its end.
   Duration roll_out{};
   // True when this process took over a round in progress, so that `roll_out`
   // and the sums cover only its part.
@@ -134,7 +136,7 @@
   std::map<PoolId, uint32_t> budget_used;
 };
 
-// A TimelineEvent leaves with an empty stamp; the caller stamps it.
+// A TimelineEvent has an empty stamp; the caller sets it.
 using FleetAction = std::variant<StoreCall,
                                  CheckpointTasks,
                                  RebootHost,
@@ -142,22 +144,24 @@
                                  TimelineEvent,
                                  WaveReport>;
 
-// Counters, monotonic, for the metrics endpoint.
+// Monotonic counters for the metrics endpoint.
 struct FleetCounters {
   uint64_t commits = 0;
   uint64_t conflicts = 0;
+  // Commits that the store answered as unavailable, and reads that returned no
+  // rows.
   uint64_t unavailable = 0;
-  uint64_t unknown = 0;  // Answers lost.
-  uint64_t resolved_committed =
-      0;  // Lost answers of a change that took effect.
+  uint64_t unknown = 0;  // Calls whose answer was lost.
+  // Lost answers of changes that turned out to be committed.
+  uint64_t resolved_committed = 0;
   uint64_t drains_started = 0;
-  uint64_t give_backs = 0;
+  uint64_t give_backs = 0;  // Drains that ended with the host active again.
   uint64_t moves = 0;
   uint64_t reboots = 0;
   uint64_t retired = 0;
   uint64_t requests_cut = 0;
   uint64_t wave_pauses = 0;
-  uint64_t budget_refusals = 0;
+  uint64_t budget_refusals = 0;  // Drains that a budget refused.
 };
 
 }  // namespace radishmoor
--- a/radishmoor/fleet/wave.cc
+++ b/radishmoor/fleet/wave.cc
@@ -12,7 +12,8 @@
   return {host.zone, host.rack};
 }
 
-// Serves again: the soak of the canary counts from there.
+// Returns true if the host serves again after the round. The canary's soak time
+// counts from then.
 bool HasCompletedRound(const FleetState& state, const HostState& host) {
   return !state.rules.maintenance.empty() &&
          host.maintained == state.rules.maintenance &&
@@ -65,8 +66,8 @@
     return true;
   if (host.phase == HostPhase::kActive || IsNewInPool(host))
     return false;
-  // After its reboot a host keeps its place until it serves again. Otherwise a
-  // second canary could start between the two.
+  // After its reboot a host counts until it serves again. Otherwise a second
+  // canary could start between the end of the reboot and the return to service.
   bool returning = host.phase == HostPhase::kDrained &&
                    !state.rules.maintenance.empty() &&
                    host.maintained == state.rules.maintenance &&
@@ -99,7 +100,7 @@
 std::vector<HostId> SoonDueHosts(const FleetState& state) {
   std::set<RackKey> next;
   std::vector<HostId> order = MaintenanceOrder(state);
-  // The racks that are in maintenance and as many again that come next.
+  // The racks that may be in maintenance now, and as many that come next.
   size_t racks = 2 * RackLimit(state);
   for (const HostId& id : order) {
     RackKey rack = RackOf(*state.FindHost(id));
@@ -134,7 +135,8 @@
     bool already_maintained = !round_.empty() && host.maintained == round_;
     report_.partial |= already_maintained;
   }
-  // A round that was complete when first seen was reported by another process.
+  // If no host is due when this process first sees the round, another process
+  // has reported it.
   round_finished_ = round_.empty() || !any_due;
 }
 
@@ -161,8 +163,8 @@
   }
   for (const auto& [id, at] : completed_at_) {
     const HostState* host = state.FindHost(id);
-    // A partition makes every host of a zone unreachable, whether rebooted or
-    // not, so it says nothing about the round.
+    // A partition makes every host of the zone unreachable, rebooted or not, so
+    // it is no sign of a failed reboot.
     if (!host || now - at > options_.probation ||
         health.IsPartitioned(host->zone)) {
       continue;
@@ -212,7 +214,7 @@
     }
   }
   ObserveHosts(now, state);
-  // Before the canary passed, its failure alone pauses the wave.
+  // Until the canary has passed, a single failure pauses the wave.
   uint32_t limit =
       CanaryPassed(now, state, health) ? options_.pause_failures : 1;
   UpdatePause(now, CountFailures(now, state, health), limit, &actions);
@@ -276,8 +278,8 @@
       usage.rebooting_racks.insert(RackOf(host));
       ++usage.rebooting_in_pool[host.pool];
     }
-    // A drain that cannot be acknowledged may last as long as a partition.
-    // Counting it would stop the wave in all other zones.
+    // A drain that waits for a silent entry process may last as long as a
+    // partition. Counting it would stop the wave in all other zones.
     if (host.phase == HostPhase::kDraining &&
         health.WouldStallDrain(host.zone)) {
       continue;
@@ -299,7 +301,8 @@
     return usage.racks.empty() && completed_at_.empty();
   if (usage.racks.contains(RackOf(host)))
     return true;
-  // One zone at a time, so that a bad round meets one failure domain only.
+  // Only one zone is in maintenance at a time, so that a faulty round affects
+  // only one failure domain.
   bool other_zone = !usage.zones.empty() && !usage.zones.contains(host.zone);
   return !other_zone && usage.racks.size() < RackLimit(state);
 }
@@ -310,7 +313,8 @@
   if (paused_ || !BelowWaveLimit(usage.rebooting_in_pool, state, host.pool)) {
     return false;
   }
-  // A host that drained for another reason does not overtake the canary.
+  // A host that was drained for another reason is not rebooted beside the
+  // canary.
   if (!usage.canary_passed)
     return usage.rebooting_racks.empty() && completed_at_.empty();
   return usage.rebooting_racks.contains(RackOf(host)) ||
--- a/radishmoor/fleet/wave.h
+++ b/radishmoor/fleet/wave.h
@@ -1,10 +1,11 @@
-// Maintenance waves: in which order and how many due hosts may be taken, the
-// pause on correlated failures, and the report of a round.
+// Maintenance waves: the order in which due hosts are drained and rebooted, how
+// many at a time, the pause on correlated failures, and the report of a round.
 //
-// A round is named by `rules.maintenance`. All its progress is in the
-// configuration log: a host is due while `maintained` differs, and `maintained`
-// is set by the change to kRebooting. A controller that takes over continues
-// from there; only the timers of the canary and of the pause start again.
+// `rules.maintenance` names the current round. All progress of the round is in
+// the configuration log: a host is due while its `maintained` differs from the
+// name, and the change to kRebooting sets `maintained`. A controller that takes
+// over continues from there; only the timers of the canary and of the pause
+// start again.
 
 #ifndef RADISHMOOR_FLEET_WAVE_H_
 #define RADISHMOOR_FLEET_WAVE_H_
@@ -21,36 +22,42 @@
 namespace radishmoor {
 
 struct WaveOptions {
-  // The first host of a round must stay healthy this long before the others.
+  // The canary, which is the first host of a round, must serve this long and be
+  // healthy before other hosts are drained.
   Duration canary_soak = Seconds(30);
-  // This many hosts failing after their reboot pause the wave.
+  // The wave pauses when this many hosts have failed after their reboot. Until
+  // the canary has passed, one failure is enough.
   uint32_t pause_failures = 2;
-  // A failure counts against the round this long after the reboot.
+  // A failed host counts against the round until this time has passed since it
+  // returned to service.
   Duration probation = Seconds(900);
-  // A host that has not returned by then counts as failed.
+  // A host that is still rebooting after this time counts as failed.
   Duration reboot_timeout = Seconds(900);
-  // The wave resumes after failures stayed below the limit this long.
+  // The wave resumes after failures have stayed below the limit for this long.
   Duration resume_after = Seconds(60);
 };
 
-// The host still needs the current round.
+// Returns true if the host still needs the current round.
 bool IsDue(const FleetState& state, const HostState& host);
 
-// The host holds one of the places that the limits of a wave count.
+// Returns true if the host counts against the limits of the wave.
 bool InMaintenance(const FleetState& state, const HostState& host);
 
-// Due hosts by zone, rack and id, the canary first: a host of a spare pool if
-// one is due, since its loss costs least. Cost: O(hosts log hosts).
+// Returns the due hosts ordered by zone, rack and id, but with the canary
+// first: a host of a spare pool if one is due, since losing it costs least.
+// Cost: O(hosts log hosts).
 std::vector<HostId> MaintenanceOrder(const FleetState& state);
 
-// The host will be drained soon: long work should not be placed on it. True for
-// hosts that are leaving, moving or held, and for due hosts in the racks that
-// are in maintenance or come next. Cost: O(hosts log hosts).
+// Returns the hosts that are out of service or will be drained soon, on which
+// long work should not be placed: hosts that are leaving, moving or held, and
+// due hosts in the racks that are in maintenance or come next. Cost:
+// O(hosts log hosts).
 std::vector<HostId> SoonDueHosts(const FleetState& state);
 
 using RackKey = std::pair<ZoneId, RackId>;
 
-// Places that hosts in maintenance occupy, at one version and time.
+// What hosts in maintenance use of the wave's limits, at one configuration
+// version and time.
 struct WaveUsage {
   std::set<RackKey> racks;
   std::set<ZoneId> zones;
@@ -64,37 +71,39 @@
  public:
   explicit Wave(WaveOptions options) : options_(options) {}
 
-  // Follows the round. Returns pause, resume and report actions.
+  // Updates the state of the round. Returns the events of its start, pause,
+  // resumption and end, and its report.
   std::vector<FleetAction> Observe(Time now,
                                    const FleetState& state,
                                    const HealthView& health,
                                    const BudgetTable& budgets);
 
-  // What the round occupies now. Cost: O(hosts).
+  // What the hosts in maintenance use of the limits now. Cost: O(hosts).
   WaveUsage Usage(Time now,
                   const FleetState& state,
                   const HealthView& health) const;
 
-  // The host may be drained for the round now, as far as the wave's own limits
-  // go. Budgets are checked apart.
+  // Returns true if the wave's own limits allow the host to be drained for the
+  // round now. The caller checks the pool's budget separately.
   bool MayStartDrain(const WaveUsage& usage,
                      const FleetState& state,
                      const HostState& host) const;
 
-  // The drained host may be rebooted now.
+  // Returns true if the drained host may be rebooted now.
   bool MayReboot(const WaveUsage& usage,
                  const FleetState& state,
                  const HostState& host) const;
 
-  // The hosts that completed the round first and serve, at most `limit`. Their
-  // health tells every control process whether the canary passed.
+  // Returns at most `limit` hosts that serve, in the order in which they
+  // completed the round. Their health tells every control process whether the
+  // canary has passed.
   std::vector<HostId> FirstCompleted(const FleetState& state,
                                      size_t limit) const;
 
   bool paused() const { return paused_; }
   uint64_t pauses() const { return pauses_; }
 
-  // Sums for the report.
+  // Count what the report of the round sums up.
   void CountMove() { ++report_.hosts_moved; }
   void CountReboot() { ++report_.hosts_maintained; }
   void CountInterruptedRequests(uint64_t requests) {
