--- a/radishmoor/control/control_core.cc
+++ b/radishmoor/control/control_core.cc
@@ -7,8 +7,8 @@
 namespace radishmoor {
 namespace {
 
-// A tag of a store call is the owner's own tag times kOwners plus the CallOwner
-// value. At least the number of CallOwner values.
+// The tag of a store call is the owner's own tag times kOwners plus the
+// CallOwner value, so kOwners must be at least the number of CallOwner values.
 constexpr uint64_t kOwners = 8;
 constexpr Duration kScanPeriodWhileDraining = Milliseconds(500);
 constexpr Duration kIdleScanPeriod = Seconds(5);
--- a/radishmoor/control/control_core.h
+++ b/radishmoor/control/control_core.h
@@ -133,7 +133,7 @@
   Time next_scan_ = kTimeZero;
   Time scan_sent_ = kTimeZero;
   bool scanning_ = false;
-  uint64_t scan_tag_ = 0;  // Of the scan's call in flight.
+  uint64_t scan_tag_ = 0;  // Tag of the scan's call in flight.
   std::string scan_resume_key_;
   MemberList scanned_members_;
   size_t scan_bytes_ = 0;
--- a/radishmoor/fleet/controller.cc
+++ b/radishmoor/fleet/controller.cc
@@ -193,8 +193,8 @@
 
 void Controller::MarkLeaseFenced() {
   auto lease = leases_.find(change_lease_.pool);
-  // If the lease has got other fence rows since the change was sent, the
-  // conflict says nothing about the present lease.
+  // If the lease has other fence rows now than when the change was sent, the
+  // conflict does not concern it.
   if (lease != leases_.end() &&
       SameFences(lease->second.fences, change_lease_.fences)) {
     fenced_leases_.insert(change_lease_.pool);
@@ -253,7 +253,7 @@
   BudgetTable budgets(now, state_, health_);
   for (FleetAction& action : wave_.Observe(now, state_, health_, budgets))
     actions_.push_back(std::move(action));
-  RequestPlatform(now, budgets);
+  RequestPlatformActions(now, budgets);
   writer_.Tick(now);
   if (writer_.Ready(now) && head_.row != 0) {
     if (std::optional<Change> change = NextChange(now, budgets)) {
@@ -283,7 +283,7 @@
   return !reasons.any() || budgets.IsExceeded(host.pool);
 }
 
-void Controller::RequestPlatform(Time now, const BudgetTable& budgets) {
+void Controller::RequestPlatformActions(Time now, const BudgetTable& budgets) {
   for (const auto& [id, host] : state_.hosts) {
     if (host.phase == HostPhase::kActive || host.phase == HostPhase::kRetired)
       continue;
@@ -431,7 +431,7 @@
   for (const auto& [id, pool] : state_.pools) {
     if (!pool.closed || !ValidLease(now, id))
       continue;
-    std::optional<ConfigDelta> delta = Retirement::RemovePool(state_, id);
+    std::optional<ConfigDelta> delta = Retirement::MakePoolRemoval(state_, id);
     if (!delta)
       continue;
     delta->version = next_version();
--- a/radishmoor/fleet/controller.h
+++ b/radishmoor/fleet/controller.h
@@ -130,7 +130,7 @@
 
   // Sends the platform actions that the committed phases of the hosts require,
   // and repeats those without a result.
-  void RequestPlatform(Time now, const BudgetTable& budgets);
+  void RequestPlatformActions(Time now, const BudgetTable& budgets);
   bool WantsAdmission(const HostState& host, const BudgetTable& budgets) const;
 
   // Returns the next change to commit. In order of urgency: cancelling drains
--- a/radishmoor/fleet/drain_gate.cc
+++ b/radishmoor/fleet/drain_gate.cc
@@ -58,8 +58,8 @@
   return now - member.last_change > options_.silent_after;
 }
 
-GateBlock DrainGate::CheckMemberOfZone(const MemberView& member,
-                                       const HostState& host) const {
+GateBlock DrainGate::CheckMemberOfSameZone(const MemberView& member,
+                                           const HostState& host) const {
   if (member.version_in_force < host.drain_version)
     return GateBlock::kLocalNotAcknowledged;
   return ReportsBusy(member, host.id) ? GateBlock::kLocalBusy
@@ -100,7 +100,7 @@
       continue;
     GateBlock block =
         member.zone == host.zone
-            ? CheckMemberOfZone(member, host)
+            ? CheckMemberOfSameZone(member, host)
             : CheckMemberOfOtherZone(now, member, host, known_since);
     if (block != GateBlock::kNone)
       return {false, block, member.id};
--- a/radishmoor/fleet/drain_gate.h
+++ b/radishmoor/fleet/drain_gate.h
@@ -22,8 +22,8 @@
 //    5 s + 1 s + max_request_time none of its requests can still be answered
 //    in time, so a reboot interrupts none.
 //  - A member that registers after the member list was read sends only under a
-//    view that it read after its registration, which is after C, so its view is
-//    at least at D.
+//    view that it read after its registration, which is after C, so the
+//    version of its view is at least D.
 
 #ifndef RADISHMOOR_FLEET_DRAIN_GATE_H_
 #define RADISHMOOR_FLEET_DRAIN_GATE_H_
@@ -90,8 +90,8 @@
   const MemberList& members() const { return members_; }
 
  private:
-  GateBlock CheckMemberOfZone(const MemberView& member,
-                              const HostState& host) const;
+  GateBlock CheckMemberOfSameZone(const MemberView& member,
+                                  const HostState& host) const;
   GateBlock CheckMemberOfOtherZone(Time now,
                                    const MemberView& member,
                                    const HostState& host,
--- a/radishmoor/fleet/lending.h
+++ b/radishmoor/fleet/lending.h
@@ -54,7 +54,8 @@
   // admission to the new pool.
   Duration lead_time = Seconds(60);
   Duration return_after = Seconds(30);
-  double newest_period_weight = 0.5;  // In the learned load.
+  // Weight of the newest period in the learned load of a bin.
+  double newest_period_weight = 0.5;
 };
 
 using LendingPolicy =
--- a/radishmoor/fleet/retirement.cc
+++ b/radishmoor/fleet/retirement.cc
@@ -44,8 +44,8 @@
          now >= closing_known_at + options_.max_request_time;
 }
 
-std::optional<ConfigDelta> Retirement::RemovePool(const FleetState& state,
-                                                  const PoolId& pool) {
+std::optional<ConfigDelta> Retirement::MakePoolRemoval(const FleetState& state,
+                                                       const PoolId& pool) {
   const PoolState* rules = state.FindPool(pool);
   if (!rules || !rules->closed)
     return std::nullopt;
--- a/radishmoor/fleet/retirement.h
+++ b/radishmoor/fleet/retirement.h
@@ -41,8 +41,8 @@
   // Returns the change that removes a closed pool and its retired hosts, or
   // nothing while a host that is not retired is in the pool or wants to join
   // it.
-  static std::optional<ConfigDelta> RemovePool(const FleetState& state,
-                                               const PoolId& pool);
+  static std::optional<ConfigDelta> MakePoolRemoval(const FleetState& state,
+                                                    const PoolId& pool);
 
  private:
   struct QueueReport {
--- a/radishmoor/fleet/testing/controller_test.cc
+++ b/radishmoor/fleet/testing/controller_test.cc
@@ -19,8 +19,8 @@
   return text;
 }
 
-// Lists the hosts in intent kServe that are not active, are due for maintenance
-// or are in the wrong pool. Empty when no work is left for control.
+// Lists the hosts with intent kServe that are not active, are due for
+// maintenance or are in the wrong pool. Empty when no work is left for control.
 std::string DescribeUnfinishedHosts(const FleetState& state) {
   std::string text;
   for (const auto& [id, host] : state.hosts) {
@@ -137,26 +137,27 @@
 // still send to it or has requests in flight, however long the member is
 // silent.
 TEST_CASE("a drain waits until its zone's members acknowledge and are idle") {
-  DrainGateFixture c;
-  CHECK(c.Check(1'000'000, {c.member}) == GateBlock::kLocalNotAcknowledged);
-  c.member.version_in_force = 7;
-  c.member.busy = {c.host.id};
-  CHECK(c.Check(1'000'000, {c.member}) == GateBlock::kLocalBusy);
-  c.member.busy = {HostId("other")};
-  CHECK(c.Check(100, {c.member}) == GateBlock::kNone);
-  c.member.role = MemberRole::kControl;
-  c.member.version_in_force = 0;
-  CHECK(c.Check(100, {c.member}) == GateBlock::kNone);
+  DrainGateFixture fixture;
+  CHECK(fixture.Check(1'000'000, {fixture.member}) ==
+        GateBlock::kLocalNotAcknowledged);
+  fixture.member.version_in_force = 7;
+  fixture.member.busy = {fixture.host.id};
+  CHECK(fixture.Check(1'000'000, {fixture.member}) == GateBlock::kLocalBusy);
+  fixture.member.busy = {HostId("other")};
+  CHECK(fixture.Check(100, {fixture.member}) == GateBlock::kNone);
+  fixture.member.role = MemberRole::kControl;
+  fixture.member.version_in_force = 0;
+  CHECK(fixture.Check(100, {fixture.member}) == GateBlock::kNone);
 }
 
 // Guards against an outdated host list or a reused host name being taken as
 // proof that a member has ended.
 TEST_CASE("a drain ignores a member only after its own instance has ended") {
-  DrainGateFixture c;
+  DrainGateFixture fixture;
   auto list = [&](HostListState state, uint64_t instance) {
     std::vector<HostListEntry> hosts{{"eh", state, instance}};
-    c.gate.ObserveHostList(hosts);
-    return c.Check(200, {c.member});
+    fixture.gate.ObserveHostList(hosts);
+    return fixture.Check(200, {fixture.member});
   };
   CHECK(list(HostListState::kTerminated, 2) != GateBlock::kNone);
   CHECK(list(HostListState::kTerminated, 4) != GateBlock::kNone);
@@ -165,41 +166,41 @@
   CHECK(list(HostListState::kTerminated, 3) == GateBlock::kNone);
   // A later list with an older state does not withdraw the proof.
   CHECK(list(HostListState::kLive, 3) == GateBlock::kNone);
-  c.member.host = "";
-  CHECK(c.Check(200, {c.member}) != GateBlock::kNone);
+  fixture.member.host = "";
+  CHECK(fixture.Check(200, {fixture.member}) != GateBlock::kNone);
 }
 
 TEST_CASE("of two rows of one member only the newer incarnation counts") {
-  DrainGateFixture c;
-  MemberView newer = c.member;
+  DrainGateFixture fixture;
+  MemberView newer = fixture.member;
   newer.incarnation = {2};
   newer.version_in_force = 8;
-  CHECK(c.Check(100, {c.member, newer}) == GateBlock::kNone);
-  CHECK(c.Check(100, {newer, c.member}) == GateBlock::kNone);
-  std::swap(newer.version_in_force, c.member.version_in_force);
-  CHECK(c.Check(100, {c.member, newer}) != GateBlock::kNone);
+  CHECK(fixture.Check(100, {fixture.member, newer}) == GateBlock::kNone);
+  CHECK(fixture.Check(100, {newer, fixture.member}) == GateBlock::kNone);
+  std::swap(newer.version_in_force, fixture.member.version_in_force);
+  CHECK(fixture.Check(100, {fixture.member, newer}) != GateBlock::kNone);
 }
 
 // Guards against a reboot that interrupts requests of an unreachable member of
 // another zone: it stops sending after 5 s + 1 s of margin, and its requests
 // end at their deadline.
 TEST_CASE("a silent member of another zone blocks until its last deadline") {
-  DrainGateFixture c;
-  c.member.zone = ZoneId("z1");
-  CHECK(c.Check(105, {c.member}) == GateBlock::kRemoteMaySend);
-  CHECK(c.Check(106, {c.member}) == GateBlock::kRemoteMayBeBusy);
-  CHECK(c.Check(165, {c.member}) == GateBlock::kRemoteMayBeBusy);
-  CHECK(c.Check(166, {c.member}) == GateBlock::kNone);
+  DrainGateFixture fixture;
+  fixture.member.zone = ZoneId("z1");
+  CHECK(fixture.Check(105, {fixture.member}) == GateBlock::kRemoteMaySend);
+  CHECK(fixture.Check(106, {fixture.member}) == GateBlock::kRemoteMayBeBusy);
+  CHECK(fixture.Check(165, {fixture.member}) == GateBlock::kRemoteMayBeBusy);
+  CHECK(fixture.Check(166, {fixture.member}) == GateBlock::kNone);
   // The member has acknowledged and reports requests on the host; first it is
   // silent, then it still renews its row.
-  c.member.version_in_force = 7;
-  c.member.busy = {c.host.id};
-  CHECK(c.Check(165, {c.member}) == GateBlock::kRemoteMayBeBusy);
-  CHECK(c.Check(166, {c.member}) == GateBlock::kNone);
-  c.member.last_change = AtSecond(160);
-  CHECK(c.Check(170, {c.member}) == GateBlock::kRemoteMayBeBusy);
-  c.member.busy.clear();
-  CHECK(c.Check(100, {c.member}) == GateBlock::kNone);
+  fixture.member.version_in_force = 7;
+  fixture.member.busy = {fixture.host.id};
+  CHECK(fixture.Check(165, {fixture.member}) == GateBlock::kRemoteMayBeBusy);
+  CHECK(fixture.Check(166, {fixture.member}) == GateBlock::kNone);
+  fixture.member.last_change = AtSecond(160);
+  CHECK(fixture.Check(170, {fixture.member}) == GateBlock::kRemoteMayBeBusy);
+  fixture.member.busy.clear();
+  CHECK(fixture.Check(100, {fixture.member}) == GateBlock::kNone);
   DrainGateFixture unbounded;
   unbounded.gate = DrainGate{DrainGateOptions{.max_request_time = Seconds(0)}};
   unbounded.gate.ObserveState(AtSecond(100), unbounded.state);
@@ -211,18 +212,18 @@
 // Guards against a member that registered between the read of the list and the
 // drain, and so is missing from the list.
 TEST_CASE("a member list read before the drain was known is ignored") {
-  DrainGateFixture c;
-  c.gate.ObserveMembers({AtSecond(99), {}});
-  CHECK(c.gate.Check(AtSecond(200), c.host).block ==
+  DrainGateFixture fixture;
+  fixture.gate.ObserveMembers({AtSecond(99), {}});
+  CHECK(fixture.gate.Check(AtSecond(200), fixture.host).block ==
         GateBlock::kMembersNotRead);
-  c.gate.ObserveMembers({AtSecond(100), {}});
-  CHECK(c.gate.Check(AtSecond(200), c.host).open);
+  fixture.gate.ObserveMembers({AtSecond(100), {}});
+  CHECK(fixture.gate.Check(AtSecond(200), fixture.host).open);
   // A second drain of the host needs a member list read after its own start.
-  c.host.drain_version = 9;
-  c.state.hosts[c.host.id] = c.host;
-  CHECK_FALSE(c.gate.Check(AtSecond(200), c.host).open);
-  c.gate.ObserveState(AtSecond(200), c.state);
-  CHECK(c.gate.Check(AtSecond(200), c.host).block ==
+  fixture.host.drain_version = 9;
+  fixture.state.hosts[fixture.host.id] = fixture.host;
+  CHECK_FALSE(fixture.gate.Check(AtSecond(200), fixture.host).open);
+  fixture.gate.ObserveState(AtSecond(200), fixture.state);
+  CHECK(fixture.gate.Check(AtSecond(200), fixture.host).block ==
         GateBlock::kMembersNotRead);
 }
 
@@ -241,8 +242,8 @@
     writer.Start(now, delta, {44, 0}, {{"lease/a", 3}}, {});
     StoreCall call = writer.TakeCalls().at(0);
     tag = call.tag;
-    const Transaction& t = std::get<CommitRows>(call.request).transaction;
-    return DecodeDelta(t.writes.at(1).value);
+    const Transaction& commit = std::get<CommitRows>(call.request).transaction;
+    return DecodeDelta(commit.writes.at(1).value);
   }
   std::optional<WriteResult> Answer(Time now, StoreReply reply) {
     return writer.Handle(now, {tag, std::move(reply)});
@@ -260,16 +261,16 @@
 // failed, after its answer was lost.
 TEST_CASE("after a lost answer the delta's operation id decides the outcome") {
   for (int outcome = 0; outcome < 3; ++outcome) {
-    ChangeWriterFixture c(1);
-    ConfigDelta sent = c.Start(AtSecond(10));
-    CHECK_FALSE(c.Answer(AtSecond(11), UnknownReply{}));
-    CHECK_FALSE(c.writer.Ready(AtSecond(20)));
+    ChangeWriterFixture fixture(1);
+    ConfigDelta sent = fixture.Start(AtSecond(10));
+    CHECK_FALSE(fixture.Answer(AtSecond(11), UnknownReply{}));
+    CHECK_FALSE(fixture.writer.Ready(AtSecond(20)));
     ConfigDelta other = sent;
     other.operation.value ^= 2;
     std::string text = outcome == 0   ? EncodeDelta(sent)
                        : outcome == 1 ? EncodeDelta(other)
                                       : "";
-    std::optional<WriteResult> result = c.ReadBack(AtSecond(20), text);
+    std::optional<WriteResult> result = fixture.ReadBack(AtSecond(20), text);
     REQUIRE(result);
     CHECK(result->outcome == (outcome == 0   ? WriteOutcome::kCommitted
                               : outcome == 1 ? WriteOutcome::kConflict
@@ -278,12 +279,12 @@
   }
   // A call without an answer counts as lost after its timeout, and a late
   // answer is ignored.
-  ChangeWriterFixture c(1);
-  c.Start(AtSecond(10));
-  c.writer.Tick(AtSecond(41));
-  CHECK(c.writer.unknown() == 1);
-  CHECK_FALSE(c.Answer(AtSecond(41), CommittedReply{{49, 50}}));
-  CHECK_FALSE(c.writer.idle());
+  ChangeWriterFixture fixture(1);
+  fixture.Start(AtSecond(10));
+  fixture.writer.Tick(AtSecond(41));
+  CHECK(fixture.writer.unknown() == 1);
+  CHECK_FALSE(fixture.Answer(AtSecond(41), CommittedReply{{49, 50}}));
+  CHECK_FALSE(fixture.writer.idle());
 }
 
 // Guards against a burst of writes when the store becomes available again, and
@@ -291,31 +292,31 @@
 TEST_CASE("the change writer keeps the rate limit and backs off with jitter") {
   std::set<Time> returns;
   for (uint64_t seed = 1; seed <= 8; ++seed) {
-    ChangeWriterFixture c(seed);
+    ChangeWriterFixture fixture(seed);
     int calls = 0;
     Time now = AtSecond(10);
     for (; now < AtSecond(610); now += Milliseconds(1)) {
-      if (!c.writer.Ready(now))
+      if (!fixture.writer.Ready(now))
         continue;
-      c.Start(now);
-      c.Answer(now, UnavailableReply{});
+      fixture.Start(now);
+      fixture.Answer(now, UnavailableReply{});
       ++calls;
     }
     CHECK(calls < 130);
-    while (!c.writer.Ready(now))
+    while (!fixture.writer.Ready(now))
       now += Milliseconds(1);
     returns.insert(now);
   }
   CHECK(returns.size() >= 7);
   CHECK(*returns.rbegin() - *returns.begin() > Seconds(1));
-  ChangeWriterFixture c(1);
-  c.writer.SetWriterCount(4);
+  ChangeWriterFixture fixture(1);
+  fixture.writer.SetWriterCount(4);
   int calls = 0;
   for (Time now = AtSecond(10); now < AtSecond(20); now += Milliseconds(1)) {
-    if (!c.writer.Ready(now))
+    if (!fixture.writer.Ready(now))
       continue;
-    c.Start(now);
-    c.Answer(now, CommittedReply{{1, 2}});
+    fixture.Start(now);
+    fixture.Answer(now, CommittedReply{{1, 2}});
     ++calls;
   }
   CHECK(calls == 250);
@@ -362,14 +363,14 @@
     std::set<RackId> racks;
     std::set<ZoneId> zones;
     std::map<PoolId, uint32_t> pools;
-    uint32_t out = 0;
+    uint32_t in_maintenance = 0;
     for (const auto& [id, host] : sim.committed_state()->hosts) {
       bool done = host.maintained == "m1" && host.phase == HostPhase::kActive;
       if (done)
         canary_done = std::min(canary_done, sim.now());
       if (!InMaintenance(*sim.committed_state(), host))
         continue;
-      ++out;
+      ++in_maintenance;
       racks.insert(host.rack);
       zones.insert(host.zone);
       ++pools[host.pool];
@@ -380,9 +381,9 @@
     for (const auto& [pool, count] : pools)
       limits_kept &= count <= wave_limit;
     if (canary_done == kTimeMax)
-      canary_alone &= out <= 1;
+      canary_alone &= in_maintenance <= 1;
     else if (sim.now() < canary_done + Seconds(29))
-      canary_alone &= out == 0;
+      canary_alone &= in_maintenance == 0;
   };
   sim.Run(AtSecond(1500));
   CHECK(limits_kept);
@@ -403,21 +404,22 @@
   FleetSim sim(OptionsWithoutFaults());
   sim.Run(AtSecond(30));
   sim.SetRound("m1");
-  std::vector<HostId> failed;
+  std::vector<HostId> first_completed;
   sim.on_step = [&] {
     for (const auto& [id, host] : sim.committed_state()->hosts) {
       bool done = host.maintained == "m1" && host.phase == HostPhase::kActive;
-      bool known = std::find(failed.begin(), failed.end(), id) != failed.end();
+      bool listed = std::find(first_completed.begin(), first_completed.end(),
+                              id) != first_completed.end();
       // The canary passes; the next two hosts fail after their return.
-      if (done && !known && failed.size() < 3) {
-        failed.push_back(id);
-        if (failed.size() > 1)
+      if (done && !listed && first_completed.size() < 3) {
+        first_completed.push_back(id);
+        if (first_completed.size() > 1)
           sim.FailHost(id, AtSecond(500) - sim.now());
       }
     }
   };
   sim.Run(AtSecond(300));
-  REQUIRE(failed.size() == 3);
+  REQUIRE(first_completed.size() == 3);
   CHECK(sim.control_processes[0].controller->wave_paused());
   uint64_t drains = sim.drains;
   sim.Run(AtSecond(520));
@@ -534,27 +536,28 @@
 // Guards against a budget that relies on old health reports of a zone that the
 // platform cannot reach.
 TEST_CASE("hosts of a partitioned zone count as unavailable") {
-  DrainGateFixture c;
+  DrainGateFixture fixture;
   FleetState state;
   state.pools[PoolId("a")] = {.id = PoolId("a"), .max_unavailable = 1};
-  std::vector<HostObservation> seen;
+  std::vector<HostObservation> observations;
   for (const char* name : {"h1", "h2"}) {
     HostState host;
     host.id = HostId(name);
     host.pool = PoolId("a");
     host.zone = ZoneId(name == std::string("h1") ? "z0" : "z1");
     state.hosts[host.id] = host;
-    seen.push_back({host.id, HostHealth::kHealthy, {}, AtSecond(112)});
+    observations.push_back({host.id, HostHealth::kHealthy, {}, AtSecond(112)});
   }
   HealthView health(HealthOptions{});
-  health.Observe(seen);
+  health.Observe(observations);
   for (int64_t second : {112, 113}) {
-    c.gate.ObserveMembers({AtSecond(second), {c.member}});
-    health.ObserveZones(AtSecond(second), c.gate);
+    fixture.gate.ObserveMembers({AtSecond(second), {fixture.member}});
+    health.ObserveZones(AtSecond(second), fixture.gate);
     BudgetTable budgets(AtSecond(second), state, health);
-    bool cut = second == 113;  // 12 s after the row's last change.
-    CHECK(budgets.unavailable(PoolId("a")) == (cut ? 1U : 0U));
-    CHECK(budgets.MayMakeUnavailable(state.hosts[HostId("h2")]) == !cut);
+    bool partitioned = second == 113;  // 12 s after the row's last change.
+    CHECK(budgets.unavailable(PoolId("a")) == (partitioned ? 1U : 0U));
+    CHECK(budgets.MayMakeUnavailable(state.hosts[HostId("h2")]) ==
+          !partitioned);
   }
   // A report made before a reboot does not count as health after it.
   const HostState& h2 = state.hosts[HostId("h2")];
@@ -607,8 +610,8 @@
                [](HostState* h) { h->intent = HostIntent::kDrain; });
   sim.Run(AtSecond(1400));
   for (const auto& [id, host] : sim.committed_state()->hosts) {
-    bool cut = host.zone == ZoneId("z1");
-    CHECK(host.maintained == (cut ? "" : "m1"));
+    bool partitioned = host.zone == ZoneId("z1");
+    CHECK(host.maintained == (partitioned ? "" : "m1"));
     CHECK(host.phase == HostPhase::kActive);
   }
   sim.Run(AtSecond(2500));
@@ -714,26 +717,26 @@
 // back.
 TEST_CASE("policies lend hosts for a peak and take them back after it") {
   const LendingPolicy hysteresis = HysteresisLending{};
-  const LendingPolicy ahead = PredictiveLending{
+  const LendingPolicy predictive = PredictiveLending{
       .period = Seconds(300), .bins = 60, .lead_time = Seconds(60)};
-  for (const LendingPolicy& policy : {hysteresis, ahead}) {
+  for (const LendingPolicy& policy : {hysteresis, predictive}) {
     bool learns = std::holds_alternative<PredictiveLending>(policy);
     SimOptions options = OptionsWithoutFaults();
     options.control.lending = policy;
     FleetSim sim(options);
-    uint32_t most = 0;
+    uint32_t max_serving = 0;
     uint32_t before_peak = 0;
     sim.on_step = [&] {
-      int64_t into = (sim.now() - kTimeZero) / Seconds(1) % 300;
-      bool peak = into >= 150 && into < 180;
+      int64_t offset = (sim.now() - kTimeZero) / Seconds(1) % 300;
+      bool peak = offset >= 150 && offset < 180;
       sim.loads = {{PoolId("a"), peak ? 9.0 : 1.0, 0}, {PoolId("b"), 1.0, 0}};
       uint32_t serving = sim.Serving(PoolId("a"));
-      most = std::max(most, serving);
-      if (into == 149 && sim.now() > AtSecond(300))
+      max_serving = std::max(max_serving, serving);
+      if (offset == 149 && sim.now() > AtSecond(300))
         before_peak = std::max(before_peak, serving);
     };
     sim.Run(AtSecond(600));
-    CHECK(most > 6);
+    CHECK(max_serving > 6);
     CHECK((before_peak > 6) == learns);
     CHECK(sim.Serving(PoolId("a")) == 6);
     CheckNoViolations(sim);
--- a/radishmoor/fleet/testing/fleet_bench.cc
+++ b/radishmoor/fleet/testing/fleet_bench.cc
@@ -126,7 +126,7 @@
     options.max_racks = 2;
     options.reboot_time = Seconds(60);
     options.step = Seconds(1);
-    options.sends = 1;
+    options.sends_per_step = 1;
     options.max_request_time = Seconds(10);
     options.control.lending = variant.lending;
     return options;
@@ -273,7 +273,7 @@
   options.zones = 22;
   options.entry_processes_per_zone = 18;
   options.control_process_count = 1;
-  options.sends = 0;
+  options.sends_per_step = 0;
   options.step = Seconds(1);
   FleetSim sim(options);
   sim.Run(kTimeZero + Seconds(20));
--- a/radishmoor/fleet/testing/fleet_sim.h
+++ b/radishmoor/fleet/testing/fleet_sim.h
@@ -1,9 +1,9 @@
 // Simulated site in virtual time for tests and benches of the fleet controller:
 // control processes with leases, entry processes, one MemoryTable, and a
 // platform that reboots hosts. An entry process sends to hosts of its own zone
-// under any view, and to hosts of other zones only while its view is at most 5
-// s old. The simulation checks each committed change, reboot and send against
-// the state of the whole site.
+// under any view, but to hosts of other zones only under a view of at most 5 s.
+// The simulation checks each committed change, reboot and send against the
+// state of the whole site.
 
 #ifndef RADISHMOOR_FLEET_TESTING_FLEET_SIM_H_
 #define RADISHMOOR_FLEET_TESTING_FLEET_SIM_H_
@@ -32,9 +32,9 @@
   bool kills = false;         // Control and entry processes are killed.
   bool partitions = false;    // Zones lose the platform and the table service.
   bool rack_outages = false;  // All hosts of a rack fail.
-  bool reboots_fail = false;  // Hosts stay down for 90 s after a reboot.
-  bool platform_loses_or_repeats =
-      false;                      // Actions and results are lost or repeated.
+  bool reboots_fail = false;  // A fifth of the reboots take 90 s longer.
+  // Actions and results of the platform are lost or repeated.
+  bool platform_loses_or_repeats = false;
   bool operator_changes = false;  // Operators change the configuration.
 };
 
@@ -51,7 +51,8 @@
   uint32_t max_racks = 2;
   Duration reboot_time = Seconds(20);
   Duration step = Milliseconds(200);
-  double sends = 2;  // Mean number of requests per entry process and step.
+  double sends_per_step =
+      2;  // Mean number of requests per entry process and step.
   Duration max_request_time = Seconds(20);
   ControllerOptions control;
 };
@@ -120,10 +121,13 @@
     delta.operation = {random_.Next() | 1};
     delta.author = "operator";
     edit(&next, &delta);
-    Transaction t{delta.operation, {{kConfigHeadKey, HeadRowVersion()}}, {}};
-    t.writes.push_back({kConfigHeadKey, EncodeHead({delta.version, 0})});
-    t.writes.push_back({ConfigDeltaKey(delta.version), EncodeDelta(delta)});
-    table.Handle(CommitRows{t});
+    Transaction transaction{
+        delta.operation, {{kConfigHeadKey, HeadRowVersion()}}, {}};
+    transaction.writes.push_back(
+        {kConfigHeadKey, EncodeHead({delta.version, 0})});
+    transaction.writes.push_back(
+        {ConfigDeltaKey(delta.version), EncodeDelta(delta)});
+    table.Handle(CommitRows{transaction});
     ApplyCommittedDeltas();
   }
   void SetRound(const std::string& round) {
@@ -294,10 +298,10 @@
     delta.rules_changed = true;
     delta.rules.max_racks_in_maintenance = options_.max_racks;
     history_.push_back(std::make_shared<FleetState>());
-    Transaction t{{1}, {}, {}};
-    t.writes.push_back({kConfigHeadKey, EncodeHead({1, 0})});
-    t.writes.push_back({ConfigDeltaKey(1), EncodeDelta(delta)});
-    table.Handle(CommitRows{t});
+    Transaction transaction{{1}, {}, {}};
+    transaction.writes.push_back({kConfigHeadKey, EncodeHead({1, 0})});
+    transaction.writes.push_back({ConfigDeltaKey(1), EncodeDelta(delta)});
+    table.Handle(CommitRows{transaction});
     ApplyCommittedDeltas();
     for (int i = 0; i < options_.zones * options_.entry_processes_per_zone;
          ++i) {
@@ -339,8 +343,8 @@
     auto happens = [&](bool on, int mean_seconds) {
       return on && random_.Chance(ToSeconds(options_.step) / mean_seconds);
     };
-    const SimFaults& f = options_.faults;
-    if (happens(f.store_down, 120) && store_up) {
+    const SimFaults& enabled = options_.faults;
+    if (happens(enabled.store_down, 120) && store_up) {
       store_up = false;
       Schedule(random_.Exponential(Seconds(25)), [this] { store_up = true; });
     }
@@ -348,21 +352,21 @@
         control_processes[random_.Below(control_processes.size())];
     EntryProcess& entry =
         entry_processes[random_.Below(entry_processes.size())];
-    if (happens(f.pauses, 60))
+    if (happens(enabled.pauses, 60))
       process.paused_until = now_ + random_.Exponential(Seconds(60));
-    if (happens(f.pauses, 60))
+    if (happens(enabled.pauses, 60))
       entry.paused_until = now_ + random_.Exponential(Seconds(60));
-    if (happens(f.kills, 60) && process.alive)
+    if (happens(enabled.kills, 60) && process.alive)
       KillControlProcess(process, random_.Exponential(Seconds(20)));
-    if (happens(f.kills, 60) && entry.alive)
+    if (happens(enabled.kills, 60) && entry.alive)
       KillEntryProcess(entry, random_.Exponential(Seconds(40)),
                        random_.Chance(0.5));
     const HostState& host = RandomHost();
-    if (happens(f.partitions, 120))
+    if (happens(enabled.partitions, 120))
       Partition(host.zone, random_.Exponential(Seconds(60)));
-    if (happens(f.rack_outages, 120))
+    if (happens(enabled.rack_outages, 120))
       FailRack(host.rack, random_.Exponential(Seconds(60)));
-    if (happens(f.operator_changes, 20))
+    if (happens(enabled.operator_changes, 20))
       RandomEdit();
   }
 
@@ -419,7 +423,7 @@
     }
     if (!entry.view || entry.view->hosts.empty())
       return;
-    for (double n = options_.sends; n > 0; n -= 1) {
+    for (double n = options_.sends_per_step; n > 0; n -= 1) {
       if (n >= 1 || random_.Chance(n))
         TrySend(entry);
     }
@@ -463,9 +467,10 @@
   // The row's value is an index into `row_contents_`, not an encoding.
   void WriteRow(const std::string& key, const MemberView& content) {
     row_contents_.push_back(content);
-    Transaction t{{random_.Next()}, {}, {}};
-    t.writes.push_back({key, std::to_string(row_contents_.size() - 1)});
-    table.Handle(CommitRows{t});
+    Transaction transaction{{random_.Next()}, {}, {}};
+    transaction.writes.push_back(
+        {key, std::to_string(row_contents_.size() - 1)});
+    table.Handle(CommitRows{transaction});
   }
 
   void StepControlProcess(ControlProcess& process) {
@@ -536,9 +541,9 @@
               ? preferred || now_ > kTimeZero + Seconds(30)
               : now_ - process.row_changes[holder].second > Seconds(12);
       if (row.value != process.id.str() && silent) {
-        Transaction t{{random_.Next()}, {{key, row.version}}, {}};
-        t.writes.push_back({key, process.id.str()});
-        table.Handle(CommitRows{t});
+        Transaction transaction{{random_.Next()}, {{key, row.version}}, {}};
+        transaction.writes.push_back({key, process.id.str()});
+        table.Handle(CommitRows{transaction});
         row = RowOf(key);
       }
       if (row.value == process.id.str())
@@ -560,16 +565,17 @@
   std::vector<HostObservation> Observations() {
     std::vector<HostObservation> result;
     for (const auto& [id, host] : committed_state()->hosts) {
-      auto cut = zone_partitions_.find(host.zone);
-      if (cut != zone_partitions_.end() && cut->second.until > now_)
+      auto partition = zone_partitions_.find(host.zone);
+      if (partition != zone_partitions_.end() && partition->second.until > now_)
         continue;
-      HostObservation o;
-      o.host = id;
-      o.health = IsDown(id) ? HostHealth::kFailed : HostHealth::kHealthy;
-      o.observed_at = now_;
+      HostObservation observation;
+      observation.host = id;
+      observation.health =
+          IsDown(id) ? HostHealth::kFailed : HostHealth::kHealthy;
+      observation.observed_at = now_;
       if (running.contains(id))
-        o.running = running[id];
-      result.push_back(o);
+        observation.running = running[id];
+      result.push_back(observation);
     }
     return result;
   }
--- a/radishmoor/fleet/wave.h
+++ b/radishmoor/fleet/wave.h
@@ -103,7 +103,7 @@
   bool paused() const { return paused_; }
   uint64_t pauses() const { return pauses_; }
 
-  // Count what the report of the round sums up.
+  // Add to the sums in the report of the round.
   void CountMove() { ++report_.hosts_moved; }
   void CountReboot() { ++report_.hosts_maintained; }
   void CountInterruptedRequests(uint64_t requests) {
