--- a/radishmoor/fleet/drain_gate.cc
+++ b/radishmoor/fleet/drain_gate.cc
@@ -76,7 +76,7 @@
   Time sends_end = known_since + options_.remote_view_age + options_.margin;
   if (!acknowledged && now < sends_end)
     return GateBlock::kRemoteMaySend;
-  // A member that still renews its row and reports requests on the host takes
+  // If a member still renews its row, its report of requests on the host takes
   // precedence over the bound by the largest deadline.
   if (acknowledged && !IsSilent(now, member))
     return GateBlock::kRemoteMayBeBusy;
--- a/radishmoor/fleet/wave.cc
+++ b/radishmoor/fleet/wave.cc
@@ -66,8 +66,8 @@
     return true;
   if (host.phase == HostPhase::kActive || IsNewInPool(host))
     return false;
-  // After its reboot a host counts until it serves again. Otherwise a second
-  // canary could start between the end of the reboot and the return to service.
+  // After its reboot a host counts as in maintenance until it serves again.
+  // Otherwise a second canary could start before the first one serves.
   bool returning = host.phase == HostPhase::kDrained &&
                    !state.rules.maintenance.empty() &&
                    host.maintained == state.rules.maintenance &&
