--- a/radishmoor/fleet/moves.cc
+++ b/radishmoor/fleet/moves.cc
@@ -6,7 +6,7 @@
 namespace radishmoor {
 namespace {
 
-// The pool that the host should be in.
+// Returns the pool that the host should be in.
 PoolId WantedPool(const FleetState& state,
                   const HostState& host,
                   const LendingPlan& plan) {
@@ -16,7 +16,7 @@
     return host.pool;
   if (!wanted->spare)
     return host.wanted_pool;
-  // A host whose home is a spare pool is where lending places it.
+  // The lending plan places a host whose home is a spare pool.
   if (!current || current->closed)
     return host.wanted_pool;
   auto it = plan.find(host.id);
@@ -28,22 +28,22 @@
 
 }  // namespace
 
-HostPurpose PurposeOf(const FleetState& state,
-                      const HostState& host,
-                      const LendingPlan& plan,
-                      bool wave_paused) {
-  HostPurpose purpose;
+DrainReasons DrainReasonsOf(const FleetState& state,
+                            const HostState& host,
+                            const LendingPlan& plan,
+                            bool wave_paused) {
+  DrainReasons reasons;
   if (host.phase == HostPhase::kRetired)
-    return purpose;
+    return reasons;
   PoolId target = WantedPool(state, host, plan);
   if (target != host.pool)
-    purpose.move_to = target;
+    reasons.move_to = target;
   const PoolState* pool = state.FindPool(host.pool);
-  bool released = pool && pool->closed && !purpose.move_to;
-  purpose.retire = host.intent == HostIntent::kRetire || released;
-  purpose.hold = host.intent == HostIntent::kDrain;
-  purpose.maintain = !wave_paused && IsDue(state, host);
-  return purpose;
+  bool released = pool && pool->closed && !reasons.move_to;
+  reasons.retire = host.intent == HostIntent::kRetire || released;
+  reasons.hold = host.intent == HostIntent::kDrain;
+  reasons.maintain = !wave_paused && IsDue(state, host);
+  return reasons;
 }
 
 HostState StartDrain(HostState host, ConfigVersion version) {
@@ -67,8 +67,9 @@
   RADISHMOOR_INVARIANT("fleet.reboot_from_drained",
                        host.phase == HostPhase::kDrained);
   host.phase = HostPhase::kRebooting;
-  // A fresh key for the platform: one reservation stands for one reboot, also
-  // when the next round begins before the host serves again.
+  // `drain_version` is the key of the reboot action. A new key for each round
+  // gives the host one reboot per round, even if the next round begins before
+  // the host serves again.
   host.drain_version = version;
   host.maintained = round;
   return host;
@@ -81,7 +82,7 @@
   return host;
 }
 
-HostState FlipPool(HostState host, const PoolId& pool) {
+HostState MoveToPool(HostState host, const PoolId& pool) {
   RADISHMOOR_INVARIANT("fleet.flip_only_drained",
                        host.phase == HostPhase::kDrained);
   host.pool = pool;
--- a/radishmoor/fleet/wave.cc
+++ b/radishmoor/fleet/wave.cc
@@ -12,8 +12,9 @@
   return {host.zone, host.rack};
 }
 
-// Serves again: the soak of the canary counts from there.
-bool Completed(const FleetState& state, const HostState& host) {
+// Returns true if the host serves again after the round. The canary's soak time
+// counts from then.
+bool HasCompletedRound(const FleetState& state, const HostState& host) {
   return !state.rules.maintenance.empty() &&
          host.maintained == state.rules.maintenance &&
          host.phase == HostPhase::kActive;
@@ -63,10 +64,10 @@
 bool InMaintenance(const FleetState& state, const HostState& host) {
   if (host.phase == HostPhase::kRebooting)
     return true;
-  if (host.phase == HostPhase::kActive || IsNewcomer(host))
+  if (host.phase == HostPhase::kActive || IsNewInPool(host))
     return false;
-  // After its reboot a host keeps its place until it serves again. Otherwise a
-  // second canary could start between the two.
+  // After its reboot a host counts as in maintenance until it serves again.
+  // Otherwise a second canary could start before the first one serves.
   bool returning = host.phase == HostPhase::kDrained &&
                    !state.rules.maintenance.empty() &&
                    host.maintained == state.rules.maintenance &&
@@ -99,7 +100,7 @@
 std::vector<HostId> SoonDueHosts(const FleetState& state) {
   std::set<RackKey> next;
   std::vector<HostId> order = MaintenanceOrder(state);
-  // The racks that are in maintenance and as many again that come next.
+  // The racks that may be in maintenance now, and as many that come next.
   size_t racks = 2 * RackLimit(state);
   for (const HostId& id : order) {
     RackKey rack = RackOf(*state.FindHost(id));
@@ -120,27 +121,28 @@
   return soon;
 }
 
-void Wave::StartRound(Time now, const FleetState& state) {
+void Wave::BeginRound(Time now, const FleetState& state) {
   round_ = state.rules.maintenance;
-  started_ = now;
+  round_started_at_ = now;
   report_ = {.round = round_};
   paused_ = false;
-  calm_since_ = now;
+  failures_below_limit_since_ = now;
   completed_at_.clear();
   reboot_failed_.clear();
   bool any_due = false;
   for (const auto& [id, host] : state.hosts) {
     any_due |= IsDue(state, host);
-    bool touched = !round_.empty() && host.maintained == round_;
-    report_.partial |= touched;
+    bool already_maintained = !round_.empty() && host.maintained == round_;
+    report_.partial |= already_maintained;
   }
-  // A round that was complete when first seen was reported by another process.
-  finished_ = round_.empty() || !any_due;
+  // If no host is due when this process first sees the round, another process
+  // has reported it.
+  round_finished_ = round_.empty() || !any_due;
 }
 
-void Wave::FollowHosts(Time now, const FleetState& state) {
+void Wave::ObserveHosts(Time now, const FleetState& state) {
   for (const auto& [id, host] : state.hosts) {
-    if (Completed(state, host))
+    if (HasCompletedRound(state, host))
       completed_at_.emplace(id, now);
     if (host.phase == HostPhase::kRebooting) {
       rebooting_since_.emplace(id, now);
@@ -151,9 +153,9 @@
   }
 }
 
-uint32_t Wave::Failures(Time now,
-                        const FleetState& state,
-                        const HealthView& health) const {
+uint32_t Wave::CountFailures(Time now,
+                             const FleetState& state,
+                             const HealthView& health) const {
   uint32_t failures = 0;
   for (const auto& [id, since] : rebooting_since_) {
     if (reboot_failed_.contains(id) || now - since > options_.reboot_timeout)
@@ -161,10 +163,10 @@
   }
   for (const auto& [id, at] : completed_at_) {
     const HostState* host = state.FindHost(id);
-    // A partition makes every host of a zone unreachable, whether rebooted or
-    // not, so it says nothing about the round.
+    // A partition makes every host of the zone unreachable, rebooted or not, so
+    // it is no sign of a failed reboot.
     if (!host || now - at > options_.probation ||
-        health.Partitioned(host->zone)) {
+        health.IsPartitioned(host->zone)) {
       continue;
     }
     HostHealth seen = health.HealthOf(now, *host);
@@ -179,7 +181,7 @@
                        uint32_t limit,
                        std::vector<FleetAction>* actions) {
   if (failures >= limit) {
-    calm_since_ = now;
+    failures_below_limit_since_ = now;
     if (paused_)
       return;
     paused_ = true;
@@ -190,7 +192,7 @@
     actions->push_back(event);
     return;
   }
-  if (!paused_ || now - calm_since_ < options_.resume_after)
+  if (!paused_ || now - failures_below_limit_since_ < options_.resume_after)
     return;
   paused_ = false;
   TimelineEvent event;
@@ -205,18 +207,18 @@
                                        const BudgetTable& budgets) {
   std::vector<FleetAction> actions;
   if (state.rules.maintenance != round_) {
-    StartRound(now, state);
-    if (!finished_) {
+    BeginRound(now, state);
+    if (!round_finished_) {
       actions.emplace_back(
           WaveEvent(EventKind::kWaveStarted, state, "round=" + round_));
     }
   }
-  FollowHosts(now, state);
-  // Before the canary passed, its failure alone pauses the wave.
+  ObserveHosts(now, state);
+  // Until the canary has passed, a single failure pauses the wave.
   uint32_t limit =
       CanaryPassed(now, state, health) ? options_.pause_failures : 1;
-  UpdatePause(now, Failures(now, state, health), limit, &actions);
-  if (finished_)
+  UpdatePause(now, CountFailures(now, state, health), limit, &actions);
+  if (round_finished_)
     return actions;
   for (const auto& [id, pool] : state.pools) {
     uint32_t& used = report_.budget_used[id];
@@ -226,8 +228,8 @@
     if (IsDue(state, host) || host.phase == HostPhase::kRebooting)
       return actions;
   }
-  finished_ = true;
-  report_.roll_out = now - started_;
+  round_finished_ = true;
+  report_.roll_out = now - round_started_at_;
   actions.emplace_back(report_);
   actions.emplace_back(
       WaveEvent(EventKind::kWaveFinished, state, "round=" + round_));
@@ -256,7 +258,8 @@
                         const HealthView& health) const {
   for (const auto& [id, at] : completed_at_) {
     const HostState* host = state.FindHost(id);
-    if (host && now - at >= options_.canary_soak && health.Healthy(now, *host))
+    if (host && now - at >= options_.canary_soak &&
+        health.IsHealthy(now, *host))
       return true;
   }
   return false;
@@ -275,10 +278,10 @@
       usage.rebooting_racks.insert(RackOf(host));
       ++usage.rebooting_in_pool[host.pool];
     }
-    // A drain that cannot be acknowledged may last as long as a partition.
-    // Counting it would stop the wave in all other zones.
+    // A drain that waits for a silent entry process may last as long as a
+    // partition. Counting it would stop the wave in all other zones.
     if (host.phase == HostPhase::kDraining &&
-        health.DrainWouldStall(host.zone)) {
+        health.WouldStallDrain(host.zone)) {
       continue;
     }
     usage.racks.insert(RackOf(host));
@@ -287,9 +290,9 @@
   return usage;
 }
 
-bool Wave::MayStart(const WaveUsage& usage,
-                    const FleetState& state,
-                    const HostState& host) const {
+bool Wave::MayStartDrain(const WaveUsage& usage,
+                         const FleetState& state,
+                         const HostState& host) const {
   if (paused_ || !IsDue(state, host) ||
       !BelowWaveLimit(usage.in_pool, state, host.pool)) {
     return false;
@@ -298,7 +301,8 @@
     return usage.racks.empty() && completed_at_.empty();
   if (usage.racks.contains(RackOf(host)))
     return true;
-  // One zone at a time, so that a bad round meets one failure domain only.
+  // Only one zone is in maintenance at a time, so that a faulty round affects
+  // only one failure domain.
   bool other_zone = !usage.zones.empty() && !usage.zones.contains(host.zone);
   return !other_zone && usage.racks.size() < RackLimit(state);
 }
@@ -309,7 +313,8 @@
   if (paused_ || !BelowWaveLimit(usage.rebooting_in_pool, state, host.pool)) {
     return false;
   }
-  // A host that drained for another reason does not overtake the canary.
+  // A host that was drained for another reason is not rebooted beside the
+  // canary.
   if (!usage.canary_passed)
     return usage.rebooting_racks.empty() && completed_at_.empty();
   return usage.rebooting_racks.contains(RackOf(host)) ||
