--- a/radishmoor/fleet/controller.cc
+++ b/radishmoor/fleet/controller.cc
@@ -225,7 +225,7 @@
     bool drain_cancelled = before && before->phase == HostPhase::kDraining &&
                            host.phase == HostPhase::kActive;
     if (drain_cancelled) {
-      ++counters_.give_backs;
+      ++counters_.drains_cancelled;
       event.detail = "drain given back";
     }
     actions_.emplace_back(std::move(event));
--- a/radishmoor/service/control_service.cc
+++ b/radishmoor/service/control_service.cc
@@ -294,7 +294,7 @@
       figures.unknown);
   set("radishmoor_control_drains", "Drains started.", figures.drains_started);
   set("radishmoor_control_give_backs", "Reservations given back.",
-      figures.give_backs);
+      figures.drains_cancelled);
   set("radishmoor_control_moves", "Hosts moved.", figures.moves);
   set("radishmoor_control_reboots", "Hosts rebooted.", figures.reboots);
   set("radishmoor_control_budget_refusals",
