--- a/radishmoor/base/hybrid_clock.h
+++ b/radishmoor/base/hybrid_clock.h
@@ -1,5 +1,6 @@
-// Hybrid logical clock: timestamps close to wall time in which a cause always
-// sorts before its effect, also across processes whose clocks differ.
+// Hybrid logical clock: its timestamps are close to wall time, and a cause
+// always sorts before its effect, even across processes whose wall clocks
+// differ.
 //
 //   HybridTime sent = clock.Tick(wall_now);             // local event or send
 //   HybridTime got = clock.Merge(wall_now, received);   // message receipt
--- a/radishmoor/base/ids.h
+++ b/radishmoor/base/ids.h
@@ -1,11 +1,11 @@
-// Strong identifiers for the objects that cross slice boundaries.
+// Strongly typed identifiers of objects that several components refer to.
 //
 //   HostId host("w-17");
 //   PoolId pool("tomato-desk");
 //   RequestId request{42};
 //
 // Identifiers of different kinds do not convert into each other. All are
-// ordered and hashable, so they can key standard containers.
+// ordered and hashable, so they can be keys of standard containers.
 
 #ifndef RADISHMOOR_BASE_IDS_H_
 #define RADISHMOOR_BASE_IDS_H_
@@ -19,7 +19,7 @@
 
 namespace radishmoor {
 
-// An identifier that operators or the platform choose.
+// A name chosen by operators or the platform.
 template <typename Tag>
 class NameId {
  public:
@@ -38,7 +38,7 @@
   std::string value_;
 };
 
-// An identifier that a process assigns from a counter or a random source.
+// A number that a process assigns from a counter or a random source.
 template <typename Tag>
 struct NumberId {
   uint64_t value = 0;
@@ -54,25 +54,27 @@
 using ZoneId = NameId<struct ZoneIdTag>;
 using RackId = NameId<struct RackIdTag>;
 using TeamId = NameId<struct TeamIdTag>;
-// An entry host process: stable over restarts on the same entry host.
+// A process on an entry host. Stays the same across restarts of the process on
+// the same entry host.
 using MemberId = NameId<struct MemberIdTag>;
 
-// What a process of an entry host does.
+// The role of a process on an entry host.
 enum class MemberRole : uint8_t { kEntry, kControl };
 
 // A request accepted by one entry process. Unique within that process.
 using RequestId = NumberId<struct RequestIdTag>;
 // A connection from one entry process to a backend server.
 using ConnectionId = NumberId<struct ConnectionIdTag>;
-// One start of a process. A later start has a larger incarnation.
+// One period of a process from start to end. A later start has a larger
+// incarnation.
 using Incarnation = NumberId<struct IncarnationTag>;
-// Identifies one operation against the store, so that a lost answer can be
-// resolved by reading back.
+// Identifies one write to the store. If its answer is lost, reading the row
+// back shows whether the write took effect.
 using OperationId = NumberId<struct OperationIdTag>;
 
 // Version of the accepted configuration. 0 means none.
 using ConfigVersion = uint64_t;
-// Counts the pool assignments of one host. Grows with every move.
+// Number of pool assignments of one host. Increases with every move.
 using HostEpoch = uint64_t;
 
 }  // namespace radishmoor
--- a/radishmoor/base/invariant.h
+++ b/radishmoor/base/invariant.h
@@ -1,14 +1,14 @@
 // Named invariants, checked in every build.
 //
-//   RADISHMOOR_INVARIANT("dispatch.conservation", accepted == done +
-//   in_flight);
+//   RADISHMOOR_INVARIANT("dispatch.conservation",
+//                        accepted == done + in_flight);
 //
-// A breach increments the invariant's counter. With abort-on-breach set (the
-// default, and always in tests) the process then prints the name, the place
-// and the run's seed, and aborts. Each name has one line in
-// docs/invariants.md.
+// A breach increments the invariant's counter. Unless
+// SetAbortOnInvariantBreach(false) was called, the process then prints the
+// name, the source location and the seed of the run, and aborts. Each name has
+// one line in docs/invariants.md.
 //
-// Cost of a check that holds: the condition and one predictable branch.
+// Cost of a check that passes: the condition and one predictable branch.
 
 #ifndef RADISHMOOR_BASE_INVARIANT_H_
 #define RADISHMOOR_BASE_INVARIANT_H_
@@ -23,13 +23,14 @@
 // Called by RADISHMOOR_INVARIANT on a breach. Thread-safe.
 void ReportInvariantBreach(std::string_view name, const char* file, int line);
 
-// Breach counters by name, for the metrics endpoint.
+// Returns the number of breaches by name, for the metrics endpoint.
 std::map<std::string, uint64_t> InvariantBreaches();
 
-// With `abort` false a breach only counts. Tests of the checks use it.
+// Sets whether a breach aborts the process (the default) or is only counted.
 void SetAbortOnInvariantBreach(bool abort);
 
-// The seed that an abort message prints, so that a random run can be replayed.
+// Sets the seed that an abort message prints, so that a random run can be
+// repeated.
 void SetInvariantSeed(uint64_t seed);
 
 }  // namespace radishmoor
--- a/radishmoor/base/random.h
+++ b/radishmoor/base/random.h
@@ -3,8 +3,9 @@
 //   Random random(seed);
 //   Duration jitter = random.Between(Milliseconds(10), Milliseconds(20));
 //
-// The same seed gives the same sequence on every machine: the distributions are
-// computed here, since those of the standard library differ by implementation.
+// The same seed gives the same sequence on every machine. The distributions are
+// computed here because those of the standard library differ between
+// implementations.
 
 #ifndef RADISHMOOR_BASE_RANDOM_H_
 #define RADISHMOOR_BASE_RANDOM_H_
--- a/radishmoor/base/run_times.cc
+++ b/radishmoor/base/run_times.cc
@@ -13,7 +13,7 @@
   ++samples_;
   mean_ +=
       (micros - mean_) / static_cast<double>(std::min<uint64_t>(samples_, 512));
-  if (total_ < fade_at_) {
+  if (total_ < halving_threshold_) {
     return;
   }
   total_ = 0;
--- a/radishmoor/base/run_times.h
+++ b/radishmoor/base/run_times.h
@@ -1,12 +1,12 @@
-// Observed run times, of one pool or of one operation of a pool.
+// Histogram of the run times of requests, for quantiles and a moving mean.
 //
 //   RunTimes runs;
 //   runs.Add(Milliseconds(12));
 //   Duration typical = runs.Quantile(0.5);
 //
-// A histogram with buckets of a quarter octave (so quantiles are at most 19%
-// too high), halved every `fade_at` samples so that old samples fade out.
-// Memory: 0.5 KB.
+// Each bucket is a quarter octave wide, so quantiles are at most 19% too high.
+// All counts are halved when they add up to `halving_threshold`, so that old
+// samples fade out. Memory: 0.5 KB.
 
 #ifndef RADISHMOOR_BASE_RUN_TIMES_H_
 #define RADISHMOOR_BASE_RUN_TIMES_H_
@@ -21,26 +21,30 @@
 
 class RunTimes {
  public:
-  explicit RunTimes(uint32_t fade_at = 1024) : fade_at_(fade_at) {}
+  explicit RunTimes(uint32_t halving_threshold = 1024)
+      : halving_threshold_(halving_threshold) {}
 
   void Add(Duration run);
 
-  // Zero without samples.
+  // Mean run time, weighted towards new samples. Zero without samples.
   Duration mean() const { return Duration(static_cast<int64_t>(mean_)); }
-  // Upper edge of the bucket that holds the quantile. Zero without samples.
+  // Returns the upper edge of the bucket that holds the quantile `q`, which is
+  // in [0, 1). Zero without samples.
   Duration Quantile(double q) const;
 
-  // Samples since the start, not reduced by the fading.
+  // Number of samples added so far, not reduced by the halving.
   uint64_t samples() const { return samples_; }
 
  private:
   static constexpr size_t kBuckets = 128;
 
-  uint32_t fade_at_;
+  uint32_t halving_threshold_;
   std::array<uint32_t, kBuckets> counts_{};
   uint32_t total_ = 0;
   uint64_t samples_ = 0;
-  double mean_ = 0;  // Microseconds; weight of a new sample is at least 1/512.
+  // Microseconds. A new sample has a weight of at least 1/512, so that old ones
+  // fade out.
+  double mean_ = 0;
 };
 
 }  // namespace radishmoor
--- a/radishmoor/base/testing/timeline_test.cc
+++ b/radishmoor/base/testing/timeline_test.cc
@@ -7,8 +7,9 @@
 namespace radishmoor {
 namespace {
 
-// Guards against unflushed events vanishing without being counted.
-TEST_CASE("the ring keeps the newest events and counts the lost ones") {
+// Guards against events that are overwritten before they are flushed and not
+// counted as dropped.
+TEST_CASE("the ring keeps the newest events and counts the dropped ones") {
   TimelineRing ring(4);
   for (int i = 0; i < 6; ++i)
     ring.Add({.detail = std::to_string(i)});
@@ -23,8 +24,8 @@
   REQUIRE(ring.EventsAfter(6).size() == 1);
 }
 
-// Guards against an effect that sorts before its cause when the receiver's
-// wall clock is behind the sender's, or jumps back.
+// Guards against an effect that sorts before its cause because the receiver's
+// wall clock is behind the sender's or jumps back.
 TEST_CASE("hybrid time orders cause before effect across skewed clocks") {
   HybridClock ahead;
   HybridClock behind;
--- a/radishmoor/base/time.h
+++ b/radishmoor/base/time.h
@@ -1,5 +1,6 @@
-// Time as decision code sees it: a point on the process's own monotonic clock,
-// passed in by the caller. Decision code never reads a clock.
+// Points in time and durations for decision code. A Time is a point on the
+// process's monotonic clock that the caller passes in; decision code never
+// reads a clock.
 //
 //   Time deadline = now + Milliseconds(250);
 //   if (now >= deadline) ...
@@ -14,7 +15,7 @@
 
 using Duration = std::chrono::microseconds;
 
-// Tag clock; it has no now(), so that decision code cannot read it.
+// Clock type of Time. It has no now(), so that decision code cannot read it.
 struct MonotonicClock {
   using rep = Duration::rep;
   using period = Duration::period;
@@ -41,11 +42,11 @@
   return static_cast<double>(d.count()) / 1e3;
 }
 
-// Towards zero, for the wire and the log.
+// Rounds towards zero. Used for the wire and the log.
 constexpr int64_t WholeMilliseconds(Duration d) {
   return d.count() / 1000;
 }
-// Rounded up, as in a Retry-After header.
+// Rounds up, as a Retry-After header needs it.
 constexpr int64_t SecondsRoundedUp(Duration d) {
   return (d.count() + 999'999) / 1'000'000;
 }
@@ -53,8 +54,8 @@
 constexpr Time kTimeZero{};
 constexpr Time kTimeMax = Time::max();
 
-// Wall-clock milliseconds since the Unix epoch. Only for key ages and the
-// timeline, never for leases or deadlines.
+// Wall-clock milliseconds since the Unix epoch. Used only for the ages of
+// idempotency keys and for the timeline, never for leases or deadlines.
 using WallMillis = int64_t;
 
 }  // namespace radishmoor
--- a/radishmoor/base/timeline.h
+++ b/radishmoor/base/timeline.h
@@ -1,11 +1,12 @@
-// Timeline events: what a process did, for merging over all processes.
+// Timeline events of one process. Their hybrid timestamps put the merged events
+// of all processes into causal order.
 //
 //   TimelineRing ring(4096);
 //   ring.Add({.stamp = clock.Tick(wall), .kind = EventKind::kHostDraining,
 //             .host = host});
 //   for (const TimelineEvent& event : ring.EventsAfter(sequence)) ...
 //
-// The ring holds a fixed number of events and overwrites the oldest; `dropped`
+// The ring holds a fixed number of events and overwrites the oldest. dropped()
 // counts those that were overwritten before they were flushed.
 
 #ifndef RADISHMOOR_BASE_TIMELINE_H_
@@ -53,7 +54,7 @@
 
 std::string_view EventName(EventKind kind);
 
-// One event. Fields that do not apply stay empty or 0.
+// Fields that do not apply to the kind of event stay empty or 0.
 struct TimelineEvent {
   uint64_t sequence = 0;  // Set by the ring.
   HybridTime stamp;
@@ -71,15 +72,16 @@
 
   void Add(TimelineEvent event);
 
-  // Events with a sequence above `sequence`, oldest first.
+  // Returns the events with a sequence number above `sequence`, oldest first.
   std::vector<TimelineEvent> EventsAfter(uint64_t sequence) const;
 
   uint64_t last_sequence() const { return next_ - 1; }
 
-  // Marks all events up to `sequence` as kept elsewhere.
+  // Marks all events up to `sequence` as flushed: overwriting them no longer
+  // counts as dropping them.
   void MarkFlushed(uint64_t sequence);
 
-  // Events overwritten before they were marked as flushed.
+  // Number of events overwritten before they were marked as flushed.
   uint64_t dropped() const { return dropped_; }
 
  private:
@@ -87,7 +89,8 @@
   uint64_t next_ = 1;
   uint64_t flushed_ = 0;
   uint64_t dropped_ = 0;
-  std::vector<TimelineEvent> events_;  // Slot of sequence s: s % capacity_.
+  // The event with sequence number s is at index s % capacity_.
+  std::vector<TimelineEvent> events_;
 };
 
 }  // namespace radishmoor
