--- a/radishmoor/membership/lease.cc
+++ b/radishmoor/membership/lease.cc
@@ -47,30 +47,31 @@
   Actions out;
   if (!member_->HoldsLease(now)) {
     for (auto& [pool, lease] : leases_)
-      End(pool, lease, out);
+      StopHolding(pool, lease, out);
   }
-  if (scan_tag_ != 0 && now - scan_sent_ >= kCallTimeout)
+  if (scan_tag_ != 0 && now - scan_sent_at_ >= kCallTimeout)
     scan_tag_ = 0;
-  if (write_tag_ != 0 && now - write_sent_ >= kCallTimeout) {
+  if (write_tag_ != 0 && now - write_sent_at_ >= kCallTimeout) {
     write_tag_ = 0;
-    next_scan_ = now;  // The scan shows whether the write took effect.
+    // The write's outcome is unknown; a scan shows whether it took effect.
+    next_scan_ = now;
   }
   if (scan_tag_ == 0 && now >= next_scan_) {
     scan_after_.clear();
     scan_bytes_ = 0;
-    seen_.clear();
-    written_.clear();
+    scanned_pools_.clear();
+    written_since_scan_.clear();
     Scan(now, out);
   }
-  Decide(now, out);
+  ReconcileLeases(now, out);
   return out;
 }
 
 Time Leases::next_wake() const {
-  Time wake = scan_tag_ != 0 ? scan_sent_ + kCallTimeout : next_scan_;
+  Time wake = scan_tag_ != 0 ? scan_sent_at_ + kCallTimeout : next_scan_;
   if (write_tag_ != 0)
-    wake = std::min(wake, write_sent_ + kCallTimeout);
-  else if (next_write_ > decided_)
+    wake = std::min(wake, write_sent_at_ + kCallTimeout);
+  else if (next_write_ > last_reconciled_at_)
     wake = std::min(wake, next_write_);
   for (const auto& [pool, lease] : leases_) {
     if (lease.held)
@@ -81,7 +82,7 @@
 
 void Leases::Scan(Time now, Actions& out) {
   scan_tag_ = next_tag_++;
-  scan_sent_ = now;
+  scan_sent_at_ = now;
   out.push_back(
       StoreCall{scan_tag_, ScanRows{kLeasePrefix, scan_after_, kScanLimit}});
 }
@@ -102,14 +103,15 @@
     } else {
       if (std::holds_alternative<ConflictReply>(answer.reply))
         ++counters_.conflicts;
-      // Views were old or the store failed; scan again before the next try.
+      // Either this process's view of the rows was outdated or the store
+      // failed. Scans again before the next attempt.
       next_scan_ = std::min(
           next_scan_,
           now + random_.Between(Milliseconds(250), Milliseconds(1000)));
       next_write_ = next_scan_ + Milliseconds(1);
     }
   }
-  Decide(now, out);
+  ReconcileLeases(now, out);
   return out;
 }
 
@@ -129,11 +131,11 @@
 void Leases::OnRow(const Row& row, Actions& out) {
   PoolId pool(row.key.substr(sizeof(kLeasePrefix) - 1));
   std::optional<LeaseRecord> record = DecodeLease(row.value);
-  seen_.insert(pool);
+  scanned_pools_.insert(pool);
   Lease& lease = leases_[pool];
-  if (written_.contains(pool) || row.version <= lease.version)
+  if (written_since_scan_.contains(pool) || row.version <= lease.version)
     return;
-  End(pool, lease, out);
+  StopHolding(pool, lease, out);
   lease.version = row.version;
   lease.record = record.value_or(LeaseRecord{});
 }
@@ -147,9 +149,9 @@
   next_scan_ = now + std::max(by_bytes, random_.Between(kScanPeriod * 4 / 5,
                                                         kScanPeriod));
   for (auto& [pool, lease] : leases_) {
-    if (seen_.contains(pool) || written_.contains(pool))
+    if (scanned_pools_.contains(pool) || written_since_scan_.contains(pool))
       continue;
-    End(pool, lease, out);
+    StopHolding(pool, lease, out);
     lease.version = 0;
     lease.record = {};
   }
@@ -158,43 +160,44 @@
   });
 }
 
-void Leases::End(const PoolId& pool, Lease& lease, Actions& out) {
+void Leases::StopHolding(const PoolId& pool, Lease& lease, Actions& out) {
   if (!lease.held)
     return;
   lease.held = false;
   out.push_back(LeaseEnded{pool});
 }
 
-void Leases::Decide(Time now, Actions& out) {
-  decided_ = now;
+void Leases::ReconcileLeases(Time now, Actions& out) {
+  last_reconciled_at_ = now;
   if (!scanned_ || !peers_->scanned() || !member_->HoldsLease(now))
     return;
   for (const PoolId& pool : pools_)
     leases_.try_emplace(pool);
   for (auto& [pool, lease] : leases_) {
-    if (Consider(now, pool, lease, out))
+    if (ReconcileLease(now, pool, lease, out))
       return;
   }
 }
 
-bool Leases::Consider(Time now,
-                      const PoolId& pool,
-                      Lease& lease,
-                      Actions& out) {
+bool Leases::ReconcileLease(Time now,
+                            const PoolId& pool,
+                            Lease& lease,
+                            Actions& out) {
   bool may_write = write_tag_ == 0 && now >= next_write_;
   bool own =
       lease.version != 0 && lease.record.token == member_->record().token;
-  std::vector<MemberId> ranked = LiveByWeight(pool);
-  if (lease.owner != ranked.front()) {
-    lease.owner = ranked.front();
-    lease.owner_since = now;
+  std::vector<MemberId> ranked = LiveMembersByWeight(pool);
+  if (lease.preferred_holder != ranked.front()) {
+    lease.preferred_holder = ranked.front();
+    lease.preferred_holder_since = now;
   }
   bool wanted = pools_.contains(pool) && !releasing_;
-  bool hand_back = lease.owner != member_->record().id &&
-                   now - lease.owner_since >= kStableOwner &&
-                   now >= lease.hand_back_after;
+  bool hand_back =
+      lease.preferred_holder != member_->record().id &&
+      now - lease.preferred_holder_since >= kPreferredHolderStableTime &&
+      now >= lease.hand_back_after;
   if (own) {
-    lease.available_since.reset();
+    lease.takeover_possible_since.reset();
     if ((!wanted || hand_back) && may_write) {
       counters_.handed_back += wanted ? 1 : 0;
       lease.hand_back_after = now + kHandBackPeriod;
@@ -208,45 +211,45 @@
     }
     return false;
   }
-  if (!Available(lease)) {
-    lease.available_since.reset();
+  if (!TakeoverExpectations(lease)) {
+    lease.takeover_possible_since.reset();
     return false;
   }
-  if (!lease.available_since)
-    lease.available_since = now;
+  if (!lease.takeover_possible_since)
+    lease.takeover_possible_since = now;
   auto rank = std::find(ranked.begin(), ranked.end(), member_->record().id) -
               ranked.begin();
-  if (!may_write || now - *lease.available_since < kRankDelay * rank)
+  if (!may_write || now - *lease.takeover_possible_since < kRankDelay * rank)
     return false;
   if (wanted) {
     Take(now, pool, lease, out);
     return true;
   }
   if (!pools_.contains(pool) && lease.version != 0 && !releasing_) {
-    Remove(now, pool, lease, out);  // Left over from a retired pool.
+    Remove(now, pool, lease, out);  // The pool is retired.
     return true;
   }
   return false;
 }
 
-std::optional<std::vector<RowExpectation>> Leases::Available(
+std::optional<std::vector<RowExpectation>> Leases::TakeoverExpectations(
     const Lease& lease) const {
   std::vector<RowExpectation> expects;
-  // An earlier start of this process cannot write any more: its member row is
-  // the one that this start replaced.
+  // If the holder is an earlier incarnation of this process, it can no longer
+  // write: this incarnation has replaced its member row.
   if (lease.version == 0 || lease.record.holder == member_->record().id)
     return expects;
   const PeerInfo* peer = peers_->Find(lease.record.holder);
   RowVersion version = peer ? peer->row_version : 0;
   if (version != 0 && peer->record.token == lease.record.token &&
-      !Peers::Expired(*peer)) {
+      !Peers::RowExpired(*peer)) {
     return std::nullopt;
   }
   expects.push_back({MemberKey(lease.record.holder), version});
   return expects;
 }
 
-std::vector<MemberId> Leases::LiveByWeight(const PoolId& pool) const {
+std::vector<MemberId> Leases::LiveMembersByWeight(const PoolId& pool) const {
   std::vector<std::pair<uint64_t, MemberId>> weights;
   auto add = [&](const MemberId& id) {
     weights.emplace_back(RendezvousWeight(pool.str(), id.str()), id);
@@ -254,7 +257,7 @@
   add(member_->record().id);
   for (const PeerInfo* peer : peers_->KnownPeers()) {
     if (peer->record.role == MemberRole::kControl && peer->row_version != 0 &&
-        !Peers::Expired(*peer)) {
+        !Peers::RowExpired(*peer)) {
       add(peer->record.id);
     }
   }
@@ -270,7 +273,7 @@
   std::optional<RowExpectation> own = member_->Expectation(now);
   if (!own)
     return;
-  Transaction t{.expects = *Available(lease)};
+  Transaction t{.expects = *TakeoverExpectations(lease)};
   t.expects.push_back({LeaseKey(pool), lease.version});
   t.expects.push_back(*own);
   t.writes.push_back({LeaseKey(pool), EncodeLease({member_->record().id,
@@ -282,7 +285,8 @@
   std::optional<RowExpectation> own = member_->Expectation(now);
   if (!own)
     return;
-  End(pool, lease, out);  // Stops before the row is free for others.
+  // Work under the lease must stop before other processes can take it.
+  StopHolding(pool, lease, out);
   Transaction t{.expects = {{LeaseKey(pool), lease.version}, *own}};
   t.writes.push_back({LeaseKey(pool), "", true});
   Commit(now, Write{pool, false, false}, std::move(t), out);
@@ -294,7 +298,7 @@
                     Actions& out) {
   transaction.operation = {random_.Next()};
   write_ = std::move(write);
-  write_sent_ = now;
+  write_sent_at_ = now;
   write_tag_ = next_tag_++;
   next_write_ = now + kMinWriteGap;
   out.push_back(StoreCall{write_tag_, CommitRows{std::move(transaction)}});
@@ -302,16 +306,16 @@
 
 void Leases::OnWritten(Time now, RowVersion version, Actions& out) {
   Lease& lease = leases_[write_.pool];
-  lease.available_since.reset();
+  lease.takeover_possible_since.reset();
   if (version < lease.version)
-    return;  // A scan overtook this answer and saw a later change.
-  written_.insert(write_.pool);
+    return;  // A scan has already returned a later version of the row.
+  written_since_scan_.insert(write_.pool);
   if (!write_.take) {
     lease.version = 0;
     lease.record = {};
     return;
   }
-  ++(write_.over ? counters_.taken_over : counters_.acquired);
+  ++(write_.takes_over ? counters_.taken_over : counters_.acquired);
   lease.version = version;
   lease.record = {member_->record().id, member_->record().token};
   if (member_->HoldsLease(now)) {
--- a/radishmoor/membership/lease.h
+++ b/radishmoor/membership/lease.h
@@ -1,21 +1,24 @@
-// Control leases: the row `lease/<pool>` gives one control process the right to
-// change the hosts of a pool. A lease is held under the member row of its
-// holder, so it needs no renewal of its own. Performs no I/O.
+// Pool leases: the row `lease/<pool>` gives one control process the right to
+// change the hosts of a pool. A pool lease is valid as long as the holder keeps
+// the lease on its member row (class Member), so it is not renewed separately.
+// Performs no I/O.
 //
 //   Leases leases(options, &member, &peers);
 //   leases.SetPools(pools);
 //   for (LeaseAction& a : leases.Tick(now)) ...
 //   if (auto expects = leases.Expectations(now, pool)) {
-//     // Every control transaction of the pool must include them (fencing).
+//     // Every control transaction of the pool must include `expects`, so that
+//     // the store rejects it once the lease is lost (fencing).
 //   }
 //
-// A lease may be taken when its row is absent, or when the member row of its
-// holder is gone, belongs to a later start or did not change for
-// Member::kTakeoverDelay by the own clock. The taking transaction expects that
-// member row as observed, so a holder that renews first keeps the lease.
+// A process may take a lease if its row is absent, or if the member row of its
+// holder is absent, belongs to a later incarnation, or has not changed for
+// Member::kTakeoverDelay on the clock of the process that takes the lease. The
+// transaction that takes the lease expects the member row in the observed
+// version, so a holder that renews first keeps the lease.
 //
-// Cost: one scan of `lease/` each 3 s, less often when it exceeds
-// Peers::kControlScanBytesPerSecond; one write for each change of holder.
+// Cost: one scan of `lease/` every 3 s, less often if the scans would read more
+// than Peers::kControlScanBytesPerSecond; one write per change of holder.
 
 #ifndef RADISHMOOR_MEMBERSHIP_LEASE_H_
 #define RADISHMOOR_MEMBERSHIP_LEASE_H_
@@ -39,7 +42,7 @@
 // The value of the row `lease/<pool>`.
 struct LeaseRecord {
   MemberId holder;
-  uint64_t token = 0;  // MemberRecord::token of the holder.
+  uint64_t token = 0;  // The holder's MemberRecord::token.
 
   friend bool operator==(const LeaseRecord&, const LeaseRecord&) = default;
 };
@@ -52,7 +55,8 @@
 struct LeaseAcquired {
   PoolId pool;
 };
-// Lost, or given up because another process should hold it.
+// The lease was lost, or this process released it: because another process is
+// the preferred holder, the pool is retired, or ReleaseAll() was called.
 struct LeaseEnded {
   PoolId pool;
 };
@@ -64,14 +68,17 @@
   static constexpr Duration kScanPeriod = Seconds(3);
   static constexpr Duration kCallTimeout = Seconds(2);
   static constexpr Duration kMinWriteGap = Milliseconds(20);
-  // A process that is not the owner by weight takes a free lease only after
-  // this long for each process that precedes it, so that the owner is first
-  // and a lease is not left free when the views of the members differ.
+  // Control processes are ranked per pool by their rendezvous weight; the first
+  // is the preferred holder. A process takes a free lease only after it was
+  // free for this long times the rank of the process. So the preferred holder
+  // comes first, and the lease does not stay free if the processes see
+  // different members.
   static constexpr Duration kRankDelay = Seconds(5);
-  // The owner by weight must be the same for this long before a lease is
-  // handed back, and a pool is handed back at most once in kHandBackPeriod: a
-  // process that starts and fails in a loop does not move leases each time.
-  static constexpr Duration kStableOwner = Seconds(10);
+  // A holder hands a lease back only after another process has been the
+  // preferred holder for kPreferredHolderStableTime, and at most once per pool
+  // in kHandBackPeriod. Otherwise a process that starts and fails in a loop
+  // would move leases each time.
+  static constexpr Duration kPreferredHolderStableTime = Seconds(10);
   static constexpr Duration kHandBackPeriod = Seconds(30);
   static constexpr uint32_t kScanLimit = 500;
 
@@ -87,21 +94,22 @@
   // `member` and `peers` must outlive this object.
   Leases(uint64_t seed, const Member* member, const Peers* peers);
 
-  // All pools of the accepted configuration.
+  // Sets the pools to lease: all pools of the accepted configuration.
   void SetPools(std::set<PoolId> pools);
 
   std::vector<LeaseAction> Tick(Time now);
   std::vector<LeaseAction> Handle(Time now, const StoreAnswer& answer);
   Time next_wake() const;
 
-  // Gives up all leases and takes no more; for a planned stop.
+  // Releases all leases and takes no more. Used for a planned stop.
   void ReleaseAll() { releasing_ = true; }
 
   bool HoldsPoolLease(Time now, const PoolId& pool) const;
   std::vector<PoolId> HeldPools(Time now) const;
 
-  // What each control transaction of the pool must expect. Absent while the
-  // lease is not held and for the moments in which the member row is written.
+  // Returns the row expectations that every control transaction of the pool
+  // must include. Absent while the lease is not held and while a write of the
+  // member row is in flight, since that write changes the row version.
   std::optional<std::vector<RowExpectation>> Expectations(
       Time now,
       const PoolId& pool) const;
@@ -110,18 +118,19 @@
 
  private:
   struct Lease {
-    RowVersion version = 0;  // 0: no row, the lease is free.
+    RowVersion version = 0;  // 0: the row is absent and the lease is free.
     LeaseRecord record;
     bool held = false;
-    std::optional<Time> available_since;
-    MemberId owner;  // By weight.
-    Time owner_since;
+    std::optional<Time> takeover_possible_since;
+    // The control process with the highest rendezvous weight for the pool.
+    MemberId preferred_holder;
+    Time preferred_holder_since;
     Time hand_back_after;
   };
   struct Write {
     PoolId pool;
     bool take = false;
-    bool over = false;  // Takes over from another holder.
+    bool takes_over = false;  // The lease row of an earlier holder exists.
   };
   using Actions = std::vector<LeaseAction>;
 
@@ -130,18 +139,19 @@
   void OnRow(const Row& row, Actions& out);
   void EndScan(Time now, Actions& out);
   void OnWritten(Time now, RowVersion version, Actions& out);
-  void Decide(Time now, Actions& out);
-  // True when it emitted a write.
-  bool Consider(Time now, const PoolId& pool, Lease& lease, Actions& out);
+  void ReconcileLeases(Time now, Actions& out);
+  // Takes, releases or reports one lease as needed. Returns whether it has
+  // tried to write, in which case no other lease is written in this round.
+  bool ReconcileLease(Time now, const PoolId& pool, Lease& lease, Actions& out);
   void Take(Time now, const PoolId& pool, Lease& lease, Actions& out);
   void Remove(Time now, const PoolId& pool, Lease& lease, Actions& out);
   void Commit(Time now, Write write, Transaction transaction, Actions& out);
-  void End(const PoolId& pool, Lease& lease, Actions& out);
-  // What the taking transaction must expect of the holder's member row; absent
-  // while the holder may still be running.
-  std::optional<std::vector<RowExpectation>> Available(
+  void StopHolding(const PoolId& pool, Lease& lease, Actions& out);
+  // Returns what a transaction that takes the lease must expect of the holder's
+  // member row. Absent while the holder may still be running.
+  std::optional<std::vector<RowExpectation>> TakeoverExpectations(
       const Lease& lease) const;
-  std::vector<MemberId> LiveByWeight(const PoolId& pool) const;
+  std::vector<MemberId> LiveMembersByWeight(const PoolId& pool) const;
 
   Random random_;
   const Member* member_;
@@ -153,17 +163,18 @@
 
   Time next_scan_;
   Time next_write_;
-  Time decided_;  // Last run of Decide().
+  Time last_reconciled_at_;
   uint64_t next_tag_ = 1;
-  uint64_t scan_tag_ = 0;  // 0: none under way.
-  Time scan_sent_;
+  uint64_t scan_tag_ = 0;  // 0: no scan is in flight.
+  Time scan_sent_at_;
   std::string scan_after_;
   int64_t scan_bytes_ = 0;
-  std::set<PoolId> seen_;
-  // Changed by own writes after the scan was sent; its rows are older.
-  std::set<PoolId> written_;
-  uint64_t write_tag_ = 0;  // 0: none under way.
-  Time write_sent_;
+  std::set<PoolId> scanned_pools_;
+  // Pools whose lease this process wrote after it started the scan. The rows of
+  // the scan are older and are ignored for these pools.
+  std::set<PoolId> written_since_scan_;
+  uint64_t write_tag_ = 0;  // 0: no write is in flight.
+  Time write_sent_at_;
   Write write_;
 
   Counters counters_;
--- a/radishmoor/membership/member.cc
+++ b/radishmoor/membership/member.cc
@@ -12,16 +12,16 @@
 
 constexpr char kFormat[] = "member1";
 constexpr uint32_t kScanLimit = 500;
-// Bounds the lists of a row that another program damaged.
+// Limits the memory that the list of a damaged row can make the decoder use.
 constexpr size_t kMaxListSize = 100'000;
 
-void PutList(std::ostream& out, const std::vector<std::string>& items) {
+void WriteList(std::ostream& out, const std::vector<std::string>& items) {
   out << ' ' << items.size();
   for (const std::string& item : items)
     out << ' ' << std::quoted(item);
 }
 
-bool GetList(std::istream& in, std::vector<std::string>& items) {
+bool ReadList(std::istream& in, std::vector<std::string>& items) {
   size_t count = 0;
   if (!(in >> count) || count > kMaxListSize)
     return false;
@@ -51,11 +51,11 @@
       << ' ' << r.token << ' ' << r.operation.value << ' '
       << static_cast<int>(r.role) << ' ' << std::quoted(r.zone.str()) << ' '
       << std::quoted(r.host) << ' ' << r.host_instance << ' ' << r.version;
-  PutList(out, r.addresses);
+  WriteList(out, r.addresses);
   std::vector<std::string> busy;
   for (const HostId& host : r.busy_hosts)
     busy.push_back(host.str());
-  PutList(out, busy);
+  WriteList(out, busy);
   return out.str();
 }
 
@@ -70,8 +70,8 @@
   in >> format >> std::quoted(id) >> r.incarnation.value >> r.token >>
       r.operation.value >> role >> std::quoted(zone) >> std::quoted(r.host) >>
       r.host_instance >> r.version;
-  if (!in || format != kFormat || !GetList(in, r.addresses) ||
-      !GetList(in, busy) || role < 0 || role > 1) {
+  if (!in || format != kFormat || !ReadList(in, r.addresses) ||
+      !ReadList(in, busy) || role < 0 || role > 1) {
     return std::nullopt;
   }
   r.id = MemberId(std::move(id));
@@ -82,9 +82,9 @@
   return r;
 }
 
-bool KnownEnded(const MemberRecord& record,
-                std::span<const HostListEntry> hosts,
-                std::span<const MemberRecord> all) {
+bool IsKnownEnded(const MemberRecord& record,
+                  std::span<const HostListEntry> hosts,
+                  std::span<const MemberRecord> all) {
   for (const HostListEntry& host : hosts) {
     if (record.host_instance == 0 || host.name != record.host)
       continue;
@@ -115,8 +115,8 @@
 void Member::SetAcknowledgement(ConfigVersion version,
                                 std::vector<HostId> busy_hosts) {
   std::sort(busy_hosts.begin(), busy_hosts.end());
-  // A shortened list would acknowledge hosts that are busy, so the row keeps
-  // its last acknowledgement.
+  // A truncated list would acknowledge hosts that still have requests in
+  // flight, so the row keeps its previous acknowledgement.
   if (busy_hosts.size() > kMaxBusyHosts)
     return;
   record_.version = std::max(record_.version, version);
@@ -127,9 +127,9 @@
   leaving_ = true;
 }
 
-bool Member::Dirty() const {
+bool Member::HasUnwrittenChanges() const {
   return registered_ && (leaving_ || record_.version != written_version_ ||
-                         record_.busy_hosts != written_busy_);
+                         record_.busy_hosts != written_busy_hosts_);
 }
 
 std::vector<MemberAction> Member::Tick(Time now) {
@@ -138,7 +138,7 @@
   if (superseded_ || left_)
     return out;
   if (call_ != CallKind::kNone) {
-    if (now - call_sent_ < kCallTimeout)
+    if (now - call_sent_at_ < kCallTimeout)
       return out;
     call_ = CallKind::kNone;
     next_write_ = now;
@@ -148,7 +148,7 @@
     out.push_back(MemberLeft{});
     return out;
   }
-  if (now < gap_until_ || (now < next_write_ && !Dirty()))
+  if (now < earliest_call_at_ || (now < next_write_ && !HasUnwrittenChanges()))
     return out;
   if (write_unresolved_)
     ReadBack(now, out);
@@ -162,17 +162,18 @@
 Time Member::next_wake() const {
   if (superseded_ || left_)
     return lease_reported_ ? lease_until() : kTimeMax;
-  Time wake = call_ != CallKind::kNone ? call_sent_ + kCallTimeout
-              : Dirty()                ? gap_until_
-                                       : std::max(gap_until_, next_write_);
+  Time wake = call_ != CallKind::kNone ? call_sent_at_ + kCallTimeout
+              : HasUnwrittenChanges()
+                  ? earliest_call_at_
+                  : std::max(earliest_call_at_, next_write_);
   return lease_reported_ ? std::min(wake, lease_until()) : wake;
 }
 
 void Member::Call(Time now, CallKind kind, StoreRequest request, Actions& out) {
   call_ = kind;
-  call_sent_ = now;
-  tag_ = next_tag_++;
-  out.push_back(StoreCall{tag_, std::move(request)});
+  call_sent_at_ = now;
+  call_tag_ = next_tag_++;
+  out.push_back(StoreCall{call_tag_, std::move(request)});
 }
 
 void Member::Scan(Time now, Actions& out) {
@@ -183,10 +184,10 @@
 void Member::Write(Time now, Actions& out) {
   write_ = record_;
   write_.operation = {random_.Next()};
-  write_removes_ = leaving_;
-  write_sent_ = now;
+  write_removes_row_ = leaving_;
+  write_sent_at_ = now;
   write_unresolved_ = true;
-  gap_until_ = now + kMinWriteGap;
+  earliest_call_at_ = now + kMinWriteGap;
   next_write_ = now + random_.Between(kRenewPeriod * 9 / 10, kRenewPeriod);
   ++counters_.writes;
   std::string key = MemberKey(record_.id);
@@ -198,13 +199,13 @@
 
 void Member::ReadBack(Time now, Actions& out) {
   ++counters_.read_backs;
-  gap_until_ = now + kMinWriteGap;
+  earliest_call_at_ = now + kMinWriteGap;
   Call(now, CallKind::kReadBack, ReadRows{{MemberKey(record_.id)}}, out);
 }
 
 std::vector<MemberAction> Member::Handle(Time now, const StoreAnswer& answer) {
   Actions out;
-  if (call_ == CallKind::kNone || answer.tag != tag_)
+  if (call_ == CallKind::kNone || answer.tag != call_tag_)
     return out;
   CallKind kind = std::exchange(call_, CallKind::kNone);
   const auto* rows = std::get_if<RowsReply>(&answer.reply);
@@ -222,7 +223,8 @@
     ++counters_.conflicts;
     OnCurrentRow(now, conflict->rows[0], out);
   } else {
-    // An unavailable write did not take effect; an unknown one is read back.
+    // After UnavailableReply the write did not take effect. After any other
+    // reply its outcome is unknown, so the row is read back.
     if (kind == CallKind::kWrite &&
         std::holds_alternative<UnavailableReply>(answer.reply)) {
       write_unresolved_ = false;
@@ -237,8 +239,9 @@
   next_write_ = now + random_.Between(Milliseconds(250), Milliseconds(1000));
 }
 
-// The incarnation must be above every row of the same id or address, whatever
-// the wall clock said: others take the larger one for the live one.
+// Raises the incarnation above those of all rows with the same id or a shared
+// address, even if the wall clock was behind: other processes regard the
+// largest incarnation as the running one.
 void Member::OnScan(Time now, const std::vector<Row>& rows, Actions& out) {
   for (const Row& row : rows) {
     std::optional<MemberRecord> other = DecodeMember(row.value);
@@ -266,16 +269,16 @@
   RADISHMOOR_INVARIANT("membership.row_version_grows", version > row_version_);
   write_unresolved_ = false;
   row_version_ = version;
-  if (write_removes_) {
+  if (write_removes_row_) {
     registered_ = false;
-    lease_from_.reset();
-    next_write_ = gap_until_;
+    lease_started_at_.reset();
+    next_write_ = earliest_call_at_;
     return;
   }
-  lease_from_ = write_sent_;
-  next_write_ = std::max(next_write_, write_sent_ + kRenewPeriod * 9 / 10);
+  lease_started_at_ = write_sent_at_;
+  next_write_ = std::max(next_write_, write_sent_at_ + kRenewPeriod * 9 / 10);
   written_version_ = write_.version;
-  written_busy_ = write_.busy_hosts;
+  written_busy_hosts_ = write_.busy_hosts;
   if (!registered_) {
     registered_ = true;
     out.push_back(MemberRegistered{record_.incarnation});
@@ -296,8 +299,9 @@
     OnWritten(row.version, out);
     return;
   }
-  // An earlier write of this process; the last one did not take effect and can
-  // no longer do so once the next one has.
+  // The row is from an earlier write of this process, so the last write has not
+  // taken effect. It can no longer take effect after the next write, since that
+  // write changes the row version that the last write expects.
   row_version_ = row.version;
   write_unresolved_ = false;
   next_write_ = now;
@@ -314,7 +318,7 @@
   if (!registered_)
     return;
   registered_ = false;
-  lease_from_.reset();
+  lease_started_at_.reset();
   if (leaving_)
     return;
   ++counters_.evictions;
@@ -332,7 +336,7 @@
   if (registered_) {
     registered_ = false;
     superseded_ = true;
-    lease_from_.reset();
+    lease_started_at_.reset();
     out.push_back(MemberSuperseded{});
     return;
   }
@@ -343,11 +347,12 @@
 }
 
 Time Member::lease_until() const {
-  return lease_from_ ? *lease_from_ + kLeaseTerm : kTimeZero;
+  return lease_started_at_ ? *lease_started_at_ + kLeaseTerm : kTimeZero;
 }
 
 bool Member::HoldsLease(Time now) const {
-  return registered_ && lease_from_ && now < *lease_from_ + kLeaseTerm;
+  return registered_ && lease_started_at_ &&
+         now < *lease_started_at_ + kLeaseTerm;
 }
 
 void Member::UpdateLease(Time now, Actions& out) {
@@ -356,7 +361,7 @@
     return;
   lease_reported_ = held;
   if (held) {
-    out.push_back(MemberLeaseHeld{});
+    out.push_back(MemberLeaseAcquired{});
   } else {
     ++counters_.lease_losses;
     out.push_back(MemberLeaseLost{});
--- a/radishmoor/membership/member.h
+++ b/radishmoor/membership/member.h
@@ -1,18 +1,21 @@
-// Registration of one process: its row `member/<id>`, its lease and the fencing
-// of its writes. Performs no I/O.
+// Registers one process with the row `member/<id>`, keeps its member lease by
+// renewing the row, and provides the expectation that fences its writes.
+// Performs no I/O.
 //
 //   Member member(options);
-//   for (MemberAction& a : member.Tick(now)) ...   // At next_wake() or later.
+//   for (MemberAction& a : member.Tick(now)) ...   // Call at next_wake().
 //   member.Handle(now, store_answer);
 //   member.SetAcknowledgement(config_version, busy_hosts);
 //   if (member.HoldsLease(now)) ...
 //
-// The lease runs on the own monotonic clock from the sending of the renewal.
-// Every write expects the row version that the last write produced, so a
-// process that lost its row cannot write again. A lost answer is resolved by
-// reading the row back and comparing the operation id.
+// The lease term is measured on the process's monotonic clock and starts when
+// the renewal is sent. Every write expects the row version that the previous
+// write produced, so a process that has lost its row cannot write again. If the
+// answer to a write is lost, the row is read back and its operation id shows
+// whether the write took effect.
 //
-// Cost: one write each kRenewPeriod, at most one each kMinWriteGap.
+// Cost: one write per kRenewPeriod, plus writes of changes, at most one per
+// kMinWriteGap.
 
 #ifndef RADISHMOOR_MEMBERSHIP_MEMBER_H_
 #define RADISHMOOR_MEMBERSHIP_MEMBER_H_
@@ -34,16 +37,18 @@
 struct MemberRecord {
   MemberId id;
   Incarnation incarnation;
-  uint64_t token = 0;     // Random; tells two processes of one id apart.
-  OperationId operation;  // Of the write that produced the row.
+  uint64_t token = 0;     // Random; distinguishes two processes with one id.
+  OperationId operation;  // The write that produced the row.
   MemberRole role = MemberRole::kEntry;
   ZoneId zone;
-  std::vector<std::string> addresses;  // "ip:port"; the first is for peers.
-  // Instance in the platform's host list; 0 when the settings do not say.
+  std::vector<std::string> addresses;  // "ip:port"; peers use the first.
+  // Name and instance of the entry host in the platform's host list. The
+  // instance is 0 if the settings do not name it.
   std::string host;
   uint64_t host_instance = 0;
-  // Drain acknowledgement: no new request is sent under an older version, and
-  // requests are in flight on these draining hosts only.
+  // Drain acknowledgement: the process sends no new request under a
+  // configuration older than `version`. Of the hosts that drain, only those in
+  // `busy_hosts` have requests of the process in flight.
   ConfigVersion version = 0;
   std::vector<HostId> busy_hosts;
 
@@ -53,34 +58,37 @@
 inline constexpr char kMemberPrefix[] = "member/";
 std::string MemberKey(const MemberId& id);
 std::string EncodeMember(const MemberRecord& record);
-// Absent when the text was not written by EncodeMember.
+// Returns nothing if EncodeMember did not write the text.
 std::optional<MemberRecord> DecodeMember(const std::string& text);
 
-// Whether the process is known to have ended: the host list marks its host
-// instance as terminated or replaced, or a newer incarnation is bound to one of
-// its addresses. A record without a host instance cannot be matched with the
-// lagging host list.
-bool KnownEnded(const MemberRecord& record,
-                std::span<const HostListEntry> hosts,
-                std::span<const MemberRecord> all);
+// Returns whether the process has certainly ended: the host list shows its host
+// instance as terminated or replaced, or a member of `all` with a newer
+// incarnation has the same id or one of its addresses. The host list lags
+// behind and may describe another instance, so it proves nothing about a record
+// without a host instance.
+bool IsKnownEnded(const MemberRecord& record,
+                  std::span<const HostListEntry> hosts,
+                  std::span<const MemberRecord> all);
 
-// The row exists and belongs to this process.
+// The process's row exists and belongs to this incarnation.
 struct MemberRegistered {
   Incarnation incarnation;
 };
-// The lease ran out or the row was lost: whatever depends on it must stop.
+// The lease expired or the row was lost. All work that needs the lease must
+// stop.
 struct MemberLeaseLost {};
-struct MemberLeaseHeld {};
-// The row was removed although this process runs; it registers again.
+struct MemberLeaseAcquired {};
+// Another process removed the row although this process still runs. Member
+// registers again with a new incarnation and token.
 struct MemberEvicted {};
-// A newer incarnation holds the row: this process must end.
+// A newer incarnation has replaced the row: this process must end.
 struct MemberSuperseded {};
-// The own row is removed after Leave().
+// The row is removed after Leave().
 struct MemberLeft {};
 
 using MemberAction = std::variant<StoreCall,
                                   MemberRegistered,
-                                  MemberLeaseHeld,
+                                  MemberLeaseAcquired,
                                   MemberLeaseLost,
                                   MemberEvicted,
                                   MemberSuperseded,
@@ -88,8 +96,9 @@
 
 struct MemberOptions {
   MemberId id;
-  // Proposal, for example wall-clock milliseconds at start. Registration takes
-  // a larger one when a row of the same id or address has it already.
+  // Proposed incarnation, for example the wall-clock milliseconds at start.
+  // Registration uses a larger one if another row with the same id or a shared
+  // address has reached this value.
   Incarnation incarnation;
   MemberRole role = MemberRole::kEntry;
   ZoneId zone;
@@ -103,11 +112,11 @@
  public:
   static constexpr Duration kRenewPeriod = Seconds(3);
   static constexpr Duration kLeaseTerm = Seconds(10);
-  // Others take over after this long without a change of the row, by their own
-  // clock: the lease term and a margin of 2 s for clock drift.
+  // Other processes may take over leases once the row has not changed for this
+  // long on their clocks. This is the lease term and 2 s for clock drift.
   static constexpr Duration kTakeoverDelay = Seconds(12);
   static constexpr Duration kMinWriteGap = Milliseconds(200);
-  // An answer that takes longer counts as lost.
+  // A store answer that takes longer counts as lost.
   static constexpr Duration kCallTimeout = Seconds(2);
   static constexpr size_t kMaxBusyHosts = 1024;
 
@@ -125,23 +134,25 @@
   std::vector<MemberAction> Handle(Time now, const StoreAnswer& answer);
   Time next_wake() const;
 
-  // What the row must show. A change is written within kMinWriteGap while the
-  // store answers.
+  // Sets the drain acknowledgement that the row must show (see MemberRecord). A
+  // change is written within kMinWriteGap as long as the store answers. Ignored
+  // if there are more than kMaxBusyHosts hosts; the row then keeps the previous
+  // acknowledgement.
   void SetAcknowledgement(ConfigVersion version,
                           std::vector<HostId> busy_hosts);
 
-  // Removes the own row. The caller must have no request in flight and must
-  // not send any more.
+  // Starts the removal of the row, which ends with MemberLeft. The caller must
+  // have no request in flight and must not send any more.
   void Leave();
 
   bool registered() const { return registered_; }
   bool HoldsLease(Time now) const;
-  // End of the lease; kTimeZero without one.
+  // Returns when the lease expires, or kTimeZero without a lease.
   Time lease_until() const;
 
-  // What a fenced write must expect of the own row. Absent without the lease
-  // and while a write of the row is in flight, since its version is then about
-  // to change.
+  // Returns the expectation on the member row that a fenced write must include.
+  // Absent without the lease and while the outcome of a write of the row is
+  // open, since that write may change the row version.
   std::optional<RowExpectation> Expectation(Time now) const;
 
   const MemberRecord& record() const { return record_; }
@@ -163,9 +174,11 @@
   void OnForeignRow(Time now, const Row& row, Incarnation other, Actions& out);
   void Retry(Time now);
   void UpdateLease(Time now, Actions& out);
-  bool Dirty() const;
+  bool HasUnwrittenChanges() const;
 
-  MemberRecord record_;  // Wanted value; id, role, zone and addresses fixed.
+  // The value that the row should have. The id, role, zone and addresses never
+  // change.
+  MemberRecord record_;
   Random random_;
 
   bool scanned_ = false;
@@ -174,24 +187,24 @@
   bool superseded_ = false;
   bool leaving_ = false;
   bool left_ = false;
-  bool lease_reported_ = false;
+  bool lease_reported_ = false;  // The last lease action reported it as held.
 
   RowVersion row_version_ = 0;
   ConfigVersion written_version_ = 0;
-  std::vector<HostId> written_busy_;
-  std::optional<Time> lease_from_;
+  std::vector<HostId> written_busy_hosts_;
+  std::optional<Time> lease_started_at_;
 
   CallKind call_ = CallKind::kNone;
   uint64_t next_tag_ = 1;
-  uint64_t tag_ = 0;
-  Time call_sent_;
-  // The last write: its operation, sending and content.
+  uint64_t call_tag_ = 0;
+  Time call_sent_at_;
+  // The last write of the row.
   MemberRecord write_;
-  Time write_sent_;
-  bool write_removes_ = false;
+  Time write_sent_at_;
+  bool write_removes_row_ = false;
   bool write_unresolved_ = false;
-  Time next_write_;  // Renewal or retry.
-  Time gap_until_;   // No write before.
+  Time next_write_;        // Next renewal or retry.
+  Time earliest_call_at_;  // kMinWriteGap after a write or read-back.
 
   Counters counters_;
 };
--- a/radishmoor/membership/peers.cc
+++ b/radishmoor/membership/peers.cc
@@ -31,14 +31,14 @@
         now + random_.Between(kHeartbeatPeriod * 9 / 10, kHeartbeatPeriod);
     SendHeartbeats(now, stamp, out);
   }
-  if (tag_ != 0 && now - scan_sent_ >= kCallTimeout) {
-    tag_ = 0;
+  if (scan_tag_ != 0 && now - scan_sent_at_ >= kCallTimeout) {
+    scan_tag_ = 0;
     ++counters_.scan_failures;
   }
-  if (tag_ == 0 && now >= next_scan_) {
+  if (scan_tag_ == 0 && now >= next_scan_) {
     scan_after_.clear();
     scan_bytes_ = 0;
-    seen_.clear();
+    scanned_members_.clear();
     Scan(now, out);
   }
   UpdateLiveness(now, out);
@@ -47,7 +47,7 @@
 
 Time Peers::next_wake() const {
   return std::min(next_heartbeat_,
-                  tag_ != 0 ? scan_sent_ + kCallTimeout : next_scan_);
+                  scan_tag_ != 0 ? scan_sent_at_ + kCallTimeout : next_scan_);
 }
 
 void Peers::SendHeartbeats(Time /*now*/, HybridTime stamp, Actions& out) {
@@ -60,7 +60,7 @@
     else
       others.push_back(&peer);
   }
-  for (size_t i = 0; i < kOtherZoneTargets && !others.empty(); ++i) {
+  for (size_t i = 0; i < kOtherZoneHeartbeatTargets && !others.empty(); ++i) {
     size_t pick = random_.Below(others.size());
     Send(*others[pick], stamp, out);
     others.erase(others.begin() + static_cast<ptrdiff_t>(pick));
@@ -78,23 +78,24 @@
 }
 
 void Peers::Scan(Time now, Actions& out) {
-  tag_ = next_tag_++;
-  scan_sent_ = now;
+  scan_tag_ = next_tag_++;
+  scan_sent_at_ = now;
   out.push_back(
-      StoreCall{tag_, ScanRows{kMemberPrefix, scan_after_, kScanLimit}});
+      StoreCall{scan_tag_, ScanRows{kMemberPrefix, scan_after_, kScanLimit}});
 }
 
 std::vector<PeerAction> Peers::Handle(Time now, const StoreAnswer& answer) {
   Actions out;
-  if (tag_ == 0 || answer.tag != tag_)
+  if (scan_tag_ == 0 || answer.tag != scan_tag_)
     return out;
-  tag_ = 0;
+  scan_tag_ = 0;
   if (const auto* rows = std::get_if<RowsReply>(&answer.reply)) {
     OnRows(now, rows->rows, out);
   } else {
     ++counters_.scan_failures;
-    next_scan_ = now + random_.Between(scan_retry_ / 2, scan_retry_);
-    scan_retry_ = std::min(scan_retry_ * 2, kScanPeriod);
+    next_scan_ =
+        now + random_.Between(scan_retry_delay_ / 2, scan_retry_delay_);
+    scan_retry_delay_ = std::min(scan_retry_delay_ * 2, kScanPeriod);
   }
   return out;
 }
@@ -116,13 +117,13 @@
   std::optional<MemberRecord> record = DecodeMember(row.value);
   if (!record || record->id == options_.self)
     return;
-  seen_.insert(record->id);
+  scanned_members_.insert(record->id);
   if (peers_.size() >= kMaxPeers && !peers_.contains(record->id))
     return;
   PeerInfo& peer = peers_[record->id];
   if (row.version <= peer.row_version) {
     if (row.version == peer.row_version)
-      peer.row_seen = scan_sent_;
+      peer.row_confirmed_at = scan_sent_at_;
     return;
   }
   if (record->incarnation > peer.record.incarnation)
@@ -130,13 +131,14 @@
   peer.version = std::max(peer.version, record->version);
   peer.record = std::move(*record);
   peer.row_version = row.version;
-  peer.row_changed = peer.row_seen = now;
+  peer.row_changed_at = peer.row_confirmed_at = now;
 }
 
-// Drops peers whose row is gone, unless heartbeats still arrive.
+// Removes peers whose row is absent, unless their heartbeats still arrive or
+// the settings name them.
 void Peers::EndScan(Time now, Actions& out) {
   ++counters_.scans;
-  scan_retry_ = kFirstScanRetry;
+  scan_retry_delay_ = kFirstScanRetryDelay;
   counters_.scan_bytes += static_cast<uint64_t>(scan_bytes_);
   scanned_ = true;
   Duration by_bytes = Seconds(1) * scan_bytes_ / ScanBytesPerSecond();
@@ -144,7 +146,7 @@
       std::max(by_bytes, random_.Between(kScanPeriod * 4 / 5, kScanPeriod));
   next_scan_ = now + scan_interval_;
   for (auto& [id, peer] : peers_) {
-    if (peer.row_version != 0 && !seen_.contains(id)) {
+    if (peer.row_version != 0 && !scanned_members_.contains(id)) {
       peer.row_version = 0;
       peer.live = peer.live && IsLive(now, peer);
       if (!peer.live)
@@ -153,7 +155,8 @@
   }
   std::erase_if(peers_, [&](const auto& entry) {
     const PeerInfo& peer = entry.second;
-    return !seen_.contains(entry.first) && !peer.live && !peer.configured;
+    return !scanned_members_.contains(entry.first) && !peer.live &&
+           !peer.configured;
   });
   UpdateLiveness(now, out);
 }
@@ -167,7 +170,7 @@
     return out;
   PeerInfo& peer = peers_[heartbeat.from];
   if (heartbeat.incarnation < peer.record.incarnation) {
-    ++counters_.old_heartbeats;
+    ++counters_.stale_heartbeats;
     return out;
   }
   if (heartbeat.incarnation > peer.record.incarnation) {
@@ -190,14 +193,14 @@
 }
 
 bool Peers::IsLive(Time now, const PeerInfo& peer) const {
-  bool heard =
-      peer.last_heartbeat && now - *peer.last_heartbeat < kHeartbeatTerm;
-  bool expected =
+  bool heartbeat_recent =
+      peer.last_heartbeat && now - *peer.last_heartbeat < kHeartbeatTimeout;
+  bool heartbeat_expected =
       peer.record.zone == options_.zone && peer.record.role == options_.role;
-  if (heard || expected)
-    return heard;
+  if (heartbeat_recent || heartbeat_expected)
+    return heartbeat_recent;
   return peer.row_version != 0 &&
-         now - peer.row_changed < Member::kTakeoverDelay + scan_interval_;
+         now - peer.row_changed_at < Member::kTakeoverDelay + scan_interval_;
 }
 
 void Peers::UpdateLiveness(Time now, Actions& out) {
--- a/radishmoor/membership/peers.h
+++ b/radishmoor/membership/peers.h
@@ -1,21 +1,22 @@
-// The members of the site as one process knows them: from scans of the rows
+// The members of the site as one process knows them, from scans of the rows
 // `member/` and from heartbeats. Performs no I/O.
 //
 //   Peers peers(options);
 //   for (PeerAction& a : peers.Tick(now, hybrid_clock.Tick(wall))) ...
 //   peers.Handle(now, store_answer);
 //   peers.Handle(now, heartbeat);
-//   for (const PeerInfo* peer : peers.LivePeers(now)) ...
+//   for (const PeerInfo* peer : peers.LivePeers()) ...
 //
-// Liveness runs on the own clock: a peer of the zone is live while heartbeats
-// arrive, a peer of another zone while its row or heartbeats change. It is a
-// hint for routing of messages; leases and drains never rely on it.
+// Liveness is judged on this process's clock. A peer of the same zone and role
+// is live while its heartbeats arrive. Any other peer is live while its row
+// changes or heartbeats arrive. Liveness is a hint for the routing of messages;
+// leases and drains never rely on it.
 //
-// Heartbeats go to processes of the own role only; those of the other role are
-// live while their rows change.
+// Heartbeats are sent only to processes of the same role.
 //
-// Cost: a heartbeat a second to each peer of the zone and to three others; a
-// scan each 4 to 5 s, less often when the rows exceed the limit of bytes.
+// Cost: one heartbeat per second to each peer of the same zone and role and to
+// kOtherZoneHeartbeatTargets peers of other zones; one scan every 4 to 5 s,
+// less often if the scans would read more than the byte limit of the role.
 
 #ifndef RADISHMOOR_MEMBERSHIP_PEERS_H_
 #define RADISHMOOR_MEMBERSHIP_PEERS_H_
@@ -41,21 +42,21 @@
   Incarnation incarnation;
   MemberRole role = MemberRole::kEntry;
   ZoneId zone;
-  std::string address;  // Of the sender's peer port.
+  std::string address;  // "ip:port" of the sender's peer port.
   ConfigVersion version = 0;
   HybridTime sent;
 };
 
 struct PeerInfo {
   MemberRecord record;
-  // 0: known from settings or heartbeats only.
+  // 0: the peer has no row; it is known from settings or heartbeats only.
   RowVersion row_version = 0;
-  // When the answer that first held this row version arrived, and when the
-  // last scan that returned it was sent: in between, the row did not change.
-  Time row_changed;
-  Time row_seen;
+  // When the answer with this row version first arrived, and when the last scan
+  // that returned the same version was sent. The row did not change in between.
+  Time row_changed_at;
+  Time row_confirmed_at;
   std::optional<Time> last_heartbeat;
-  // Largest version in force that the peer reported.
+  // Largest configuration version that the peer has reported as in force.
   ConfigVersion version = 0;
   bool live = false;
   bool configured = false;  // Named in the settings; never forgotten.
@@ -86,16 +87,17 @@
 class Peers {
  public:
   static constexpr Duration kHeartbeatPeriod = Seconds(1);
-  // Three missed heartbeats.
-  static constexpr Duration kHeartbeatTerm = Seconds(3);
+  // Three heartbeat periods, so that single lost heartbeats do not matter.
+  static constexpr Duration kHeartbeatTimeout = Seconds(3);
   static constexpr Duration kScanPeriod = Seconds(5);
   static constexpr Duration kCallTimeout = Seconds(2);
-  // After a failed scan; doubled with each further one, up to the period.
-  static constexpr Duration kFirstScanRetry = Milliseconds(500);
-  static constexpr size_t kOtherZoneTargets = 3;
-  // Scans become rarer so that they read no more than this: a node may use
-  // 9 KB/s for both of its processes (1.4). Control processes get more, since
-  // the time to take over a lease includes one scan.
+  // Delay after a first failed scan, doubled with each further failure up to
+  // kScanPeriod.
+  static constexpr Duration kFirstScanRetryDelay = Milliseconds(500);
+  static constexpr size_t kOtherZoneHeartbeatTargets = 3;
+  // Scans become less frequent so that they read no more than this. An entry
+  // host may use 9 KB/s for its entry and its control process together. Control
+  // processes get more, since the time to take over a lease includes one scan.
   static constexpr int64_t kEntryScanBytesPerSecond = 500;
   static constexpr int64_t kControlScanBytesPerSecond = 2000;
   static constexpr uint32_t kScanLimit = 500;
@@ -104,7 +106,7 @@
   struct Counters {
     uint64_t heartbeats_sent = 0;
     uint64_t heartbeats_received = 0;
-    uint64_t old_heartbeats = 0;  // Of an earlier incarnation.
+    uint64_t stale_heartbeats = 0;  // From an earlier incarnation.
     uint64_t scans = 0;
     uint64_t scan_bytes = 0;
     uint64_t scan_failures = 0;
@@ -112,10 +114,11 @@
 
   explicit Peers(PeersOptions options);
 
-  // A peer from the settings, so that a process without the store finds one.
+  // Adds a peer from the settings, so that a process finds peers while the
+  // store is unavailable.
   void AddConfiguredPeer(const MemberRecord& record);
 
-  // What own heartbeats carry.
+  // Sets the incarnation and configuration version that heartbeats announce.
   void SetSelf(Incarnation incarnation, ConfigVersion version);
 
   std::vector<PeerAction> Tick(Time now, HybridTime stamp);
@@ -123,16 +126,18 @@
   std::vector<PeerAction> Handle(Time now, const Heartbeat& heartbeat);
   Time next_wake() const;
 
-  // The row exists and did not change for Member::kTakeoverDelay.
-  static bool Expired(const PeerInfo& peer) {
+  // Returns whether the peer's row exists and has not changed for
+  // Member::kTakeoverDelay, so that the peer's member lease has expired.
+  static bool RowExpired(const PeerInfo& peer) {
     return peer.row_version != 0 &&
-           peer.row_seen - peer.row_changed >= Member::kTakeoverDelay;
+           peer.row_confirmed_at - peer.row_changed_at >=
+               Member::kTakeoverDelay;
   }
 
   const PeerInfo* Find(const MemberId& id) const;
   std::vector<const PeerInfo*> LivePeers() const;
   std::vector<const PeerInfo*> KnownPeers() const;
-  // At least one scan completed.
+  // Returns whether at least one scan has completed.
   bool scanned() const { return scanned_; }
 
   const Counters& counters() const { return counters_; }
@@ -162,12 +167,12 @@
   Time next_scan_;
   Duration scan_interval_ = kScanPeriod;
   uint64_t next_tag_ = 1;
-  uint64_t tag_ = 0;  // 0: no scan under way.
-  Time scan_sent_;
+  uint64_t scan_tag_ = 0;  // 0: no scan is in flight.
+  Time scan_sent_at_;
   std::string scan_after_;
   int64_t scan_bytes_ = 0;
-  Duration scan_retry_ = kFirstScanRetry;
-  std::set<MemberId> seen_;
+  Duration scan_retry_delay_ = kFirstScanRetryDelay;
+  std::set<MemberId> scanned_members_;
 
   Counters counters_;
 };
--- a/radishmoor/membership/testing/membership_test.cc
+++ b/radishmoor/membership/testing/membership_test.cc
@@ -1,4 +1,4 @@
-// Random tests of member, peers and leases together.
+// Tests of Member, Peers and Leases, alone and together under random faults.
 
 #include <catch2/catch.hpp>
 #include <cstdio>
@@ -14,124 +14,132 @@
 namespace radishmoor {
 namespace {
 
-// Control processes that register, follow each other and lease pools. Each
-// holder commits writes of its pool, fenced by Expectations().
-class World {
+// Control processes that register as members, exchange heartbeats and lease
+// pools. The holder of a pool commits writes that Expectations() fences.
+class MembershipSimulation {
  public:
-  struct Node {
-    SimProcess process;
+  struct ControlProcess {
+    SimProcess sim_process;
     MemberId id;
     std::unique_ptr<Member> member;
     std::unique_ptr<Peers> peers;
     std::unique_ptr<Leases> leases;
-    WallMillis skew = 0;
-    bool cut = false;  // From peers.
+    WallMillis wall_clock_skew = 0;
+    bool cut_from_peers = false;
     ConfigVersion version = 0;
     bool superseded = false;
   };
 
-  World(uint64_t seed, size_t count, size_t pool_count)
+  MembershipSimulation(uint64_t seed, size_t count, size_t pool_count)
       : sim(seed), store(&sim) {
     for (size_t i = 0; i < pool_count; ++i)
       pools.insert(PoolId("p" + std::to_string(i)));
     for (size_t i = 0; i < count; ++i) {
-      nodes.push_back(std::make_unique<Node>());
-      nodes[i]->id = MemberId("m" + std::to_string(i));
+      processes.push_back(std::make_unique<ControlProcess>());
+      processes[i]->id = MemberId("m" + std::to_string(i));
     }
     for (size_t i = 0; i < count; ++i)
       Start(i);
   }
 
-  WallMillis Wall(size_t n) const {
-    return 1'780'000'000'000 + nodes[n]->skew +
+  WallMillis Wall(size_t index) const {
+    return 1'780'000'000'000 + processes[index]->wall_clock_skew +
            sim.now.time_since_epoch().count() / 1000;
   }
 
-  void Start(size_t n) {
-    Node& node = *nodes[n];
-    Simulation::Kill(&node.process);
-    std::string address = "127.0.0.1:" + std::to_string(n);
-    ZoneId zone(n % 2 == 0 ? "a" : "b");
-    node.superseded = false;
-    node.member = std::make_unique<Member>(
-        MemberOptions{.id = node.id,
-                      .incarnation = {static_cast<uint64_t>(Wall(n))},
+  void Start(size_t index) {
+    ControlProcess& process = *processes[index];
+    Simulation::Kill(&process.sim_process);
+    std::string address = "127.0.0.1:" + std::to_string(index);
+    ZoneId zone(index % 2 == 0 ? "a" : "b");
+    process.superseded = false;
+    process.member = std::make_unique<Member>(
+        MemberOptions{.id = process.id,
+                      .incarnation = {static_cast<uint64_t>(Wall(index))},
                       .role = MemberRole::kControl,
                       .zone = zone,
                       .addresses = {address},
                       .seed = sim.random.Next()});
-    node.peers = std::make_unique<Peers>(PeersOptions{
-        node.id, MemberRole::kControl, zone, address, sim.random.Next()});
-    node.leases = std::make_unique<Leases>(sim.random.Next(), node.member.get(),
-                                           node.peers.get());
-    node.leases->SetPools(pools);
-    Tick(n);
+    process.peers = std::make_unique<Peers>(PeersOptions{
+        process.id, MemberRole::kControl, zone, address, sim.random.Next()});
+    process.leases = std::make_unique<Leases>(
+        sim.random.Next(), process.member.get(), process.peers.get());
+    process.leases->SetPools(pools);
+    Tick(index);
   }
 
-  void Tick(size_t n) {
-    Node& node = *nodes[n];
-    node.peers->SetSelf(node.member->record().incarnation, node.version);
-    Do(n, node.member->Tick(sim.now), &Node::member);
-    Do(n, node.peers->Tick(sim.now, {Wall(n), 0}), &Node::peers);
-    Do(n, node.leases->Tick(sim.now), &Node::leases);
-    Schedule(n);
+  void Tick(size_t index) {
+    ControlProcess& process = *processes[index];
+    process.peers->SetSelf(process.member->record().incarnation,
+                           process.version);
+    CarryOut(index, process.member->Tick(sim.now), &ControlProcess::member);
+    CarryOut(index, process.peers->Tick(sim.now, {Wall(index), 0}),
+             &ControlProcess::peers);
+    CarryOut(index, process.leases->Tick(sim.now), &ControlProcess::leases);
+    Schedule(index);
   }
 
-  void Schedule(size_t n) {
-    Node& node = *nodes[n];
-    Time wake = std::min({node.member->next_wake(), node.peers->next_wake(),
-                          node.leases->next_wake()});
-    sim.Wake(&node.process, wake, [this, n] { Tick(n); });
+  void Schedule(size_t index) {
+    ControlProcess& process = *processes[index];
+    Time wake =
+        std::min({process.member->next_wake(), process.peers->next_wake(),
+                  process.leases->next_wake()});
+    sim.Wake(&process.sim_process, wake, [this, index] { Tick(index); });
   }
 
   template <typename Action, typename Part>
-  void Do(size_t n, const std::vector<Action>& actions, Part part) {
-    Node& node = *nodes[n];
+  void CarryOut(size_t index, const std::vector<Action>& actions, Part part) {
+    ControlProcess& process = *processes[index];
     for (const Action& action : actions) {
       if (auto* call = std::get_if<StoreCall>(&action)) {
-        store.Call(&node.process, *call, [=, this](const StoreAnswer& answer) {
-          auto& target = (*nodes[n]).*part;
-          Do(n, target->Handle(sim.now, answer), part);
-          Schedule(n);
-        });
+        store.Call(&process.sim_process, *call,
+                   [=, this](const StoreAnswer& answer) {
+                     auto& target = (*processes[index]).*part;
+                     CarryOut(index, target->Handle(sim.now, answer), part);
+                     Schedule(index);
+                   });
       } else {
-        Note(n, action);
+        HandleAction(index, action);
       }
     }
   }
 
-  void Note(size_t n, const PeerAction& action) {
+  void HandleAction(size_t index, const PeerAction& action) {
     if (auto* send = std::get_if<SendHeartbeat>(&action)) {
-      for (size_t to = 0; to < nodes.size(); ++to) {
-        if (nodes[to]->id != send->to || nodes[to]->cut || nodes[n]->cut)
+      for (size_t to = 0; to < processes.size(); ++to) {
+        if (processes[to]->id != send->to || processes[to]->cut_from_peers ||
+            processes[index]->cut_from_peers)
           continue;
         Duration late = sim.random.Chance(0.02) ? Seconds(30) : Milliseconds(3);
-        sim.Post(&nodes[to]->process, sim.random.Between(Duration(0), late),
-                 [=, this, beat = send->heartbeat] {
-                   Do(to, nodes[to]->peers->Handle(sim.now, beat),
-                      &Node::peers);
+        sim.Post(&processes[to]->sim_process,
+                 sim.random.Between(Duration(0), late),
+                 [=, this, message = send->heartbeat] {
+                   CarryOut(to, processes[to]->peers->Handle(sim.now, message),
+                            &ControlProcess::peers);
                  });
       }
     }
   }
-  void Note(size_t n, const MemberAction& action) {
+  void HandleAction(size_t index, const MemberAction& action) {
     if (std::holds_alternative<MemberSuperseded>(action)) {
-      nodes[n]->superseded = true;
-      REQUIRE_FALSE(nodes[n]->member->HoldsLease(sim.now));
+      processes[index]->superseded = true;
+      REQUIRE_FALSE(processes[index]->member->HoldsLease(sim.now));
     }
   }
-  void Note(size_t, const LeaseAction&) {}
-
-  // A control write: it must fail unless the writer is the only holder.
-  void Write(size_t n, const PoolId& pool) {
-    Node& node = *nodes[n];
-    auto expects = node.leases->Expectations(sim.now, pool);
+  void HandleAction(size_t, const LeaseAction&) {}
+
+  // Sends a control transaction of the pool if the process believes that it
+  // holds the lease. When it commits, the lease row must still name the
+  // process.
+  void Write(size_t index, const PoolId& pool) {
+    ControlProcess& process = *processes[index];
+    auto expects = process.leases->Expectations(sim.now, pool);
     if (!expects)
       return;
-    uint64_t token = node.member->record().token;
+    uint64_t token = process.member->record().token;
     Transaction t{.expects = *expects};
     t.writes.push_back({"work/" + pool.str(), "x"});
-    // The write reaches the store late at times.
+    // One write in five may reach the store up to 30 s late.
     Duration delay = sim.random.Between(
         Duration(0), sim.random.Chance(0.2) ? Seconds(30) : Milliseconds(5));
     sim.At(sim.now + delay, [=, this] {
@@ -142,28 +150,29 @@
       }
       ++written;
       auto rows = std::get<RowsReply>(store.table.Handle(
-          ReadRows{{LeaseKey(pool), MemberKey(nodes[n]->id)}}));
+          ReadRows{{LeaseKey(pool), MemberKey(processes[index]->id)}}));
       REQUIRE(DecodeLease(rows.rows[0].value)->token == token);
       REQUIRE(DecodeMember(rows.rows[1].value)->token == token);
     });
   }
 
-  // Of the holders by their own belief, at most one has writes that pass.
-  void Check() {
+  // Of the processes that believe that they hold the lease of a pool, at most
+  // one may have transactions that the store would commit.
+  void CheckSingleHolder() {
     for (const PoolId& pool : pools) {
-      int passing = 0;
-      for (auto& node : nodes) {
-        bool paused = node->process.paused_until > sim.now;
-        if (!node->leases->HoldsPoolLease(sim.now, pool) || paused)
+      int effective_holders = 0;
+      for (auto& process : processes) {
+        bool paused = process->sim_process.paused_until > sim.now;
+        if (!process->leases->HoldsPoolLease(sim.now, pool) || paused)
           continue;
-        auto expects = node->leases->Expectations(sim.now, pool);
-        passing += expects && Passes(*expects) ? 1 : 0;
+        auto expects = process->leases->Expectations(sim.now, pool);
+        effective_holders += expects && WouldCommit(*expects) ? 1 : 0;
       }
-      REQUIRE(passing <= 1);
+      REQUIRE(effective_holders <= 1);
     }
   }
 
-  bool Passes(const std::vector<RowExpectation>& expects) {
+  bool WouldCommit(const std::vector<RowExpectation>& expects) {
     for (const RowExpectation& e : expects) {
       auto rows = std::get<RowsReply>(store.table.Handle(ReadRows{{e.key}}));
       if (rows.rows[0].version != e.version)
@@ -174,88 +183,91 @@
 
   Simulation sim;
   FaultyTable store;
-  std::vector<std::unique_ptr<Node>> nodes;
+  std::vector<std::unique_ptr<ControlProcess>> processes;
   std::set<PoolId> pools;
   uint64_t written = 0;
   uint64_t fenced = 0;
 };
 
-void RandomFault(World& world) {
-  Random& random = world.sim.random;
-  size_t n = random.Below(world.nodes.size());
-  World::Node& node = *world.nodes[n];
+void RandomFault(MembershipSimulation& simulation) {
+  Random& random = simulation.sim.random;
+  size_t index = random.Below(simulation.processes.size());
+  MembershipSimulation::ControlProcess& process = *simulation.processes[index];
   switch (random.Below(7)) {
     case 0:
-      world.store.faults = RandomFaults(random);
+      simulation.store.faults = RandomFaults(random);
       break;
     case 1:
-      node.process.Pause(world.sim.now +
-                         random.Between(Milliseconds(10), Seconds(180)));
+      process.sim_process.Pause(simulation.sim.now +
+                                random.Between(Milliseconds(10), Seconds(180)));
       break;
     case 2:
-      world.Start(n);
+      simulation.Start(index);
       break;
     case 3:
-      node.skew = static_cast<WallMillis>(random.Below(7'200'000)) - 3'600'000;
+      process.wall_clock_skew =
+          static_cast<WallMillis>(random.Below(7'200'000)) - 3'600'000;
       break;
     case 4:
-      node.cut = !node.cut;
+      process.cut_from_peers = !process.cut_from_peers;
       break;
-    case 5:  // Someone takes the process for ended.
-      world.store.table.Handle(
-          CommitRows{{.writes = {{MemberKey(node.id), "", true}}}});
+    case 5:  // Another program removes the row of the running process.
+      simulation.store.table.Handle(
+          CommitRows{{.writes = {{MemberKey(process.id), "", true}}}});
       break;
     default:
-      world.store.faults = {};
+      simulation.store.faults = {};
   }
 }
 
 Figures RunRandom(uint64_t seed, int steps) {
-  World world(seed, 5, 6);
-  Random& random = world.sim.random;
+  MembershipSimulation simulation(seed, 5, 6);
+  Random& random = simulation.sim.random;
   for (int step = 0; step < steps; ++step) {
     INFO("seed " << seed << " step " << step);
     if (random.Chance(0.02))
-      RandomFault(world);
-    size_t n = random.Below(world.nodes.size());
-    World::Node& node = *world.nodes[n];
-    if (node.superseded)
-      world.Start(n);
-    if (node.process.paused_until <= world.sim.now) {
-      world.Write(n, PoolId("p" + std::to_string(random.Below(6))));
+      RandomFault(simulation);
+    size_t index = random.Below(simulation.processes.size());
+    MembershipSimulation::ControlProcess& process =
+        *simulation.processes[index];
+    if (process.superseded)
+      simulation.Start(index);
+    if (process.sim_process.paused_until <= simulation.sim.now) {
+      simulation.Write(index, PoolId("p" + std::to_string(random.Below(6))));
       if (random.Chance(0.1))
-        node.member->SetAcknowledgement(++node.version, {});
+        process.member->SetAcknowledgement(++process.version, {});
     }
-    world.Check();
-    world.sim.RunUntil(world.sim.now +
-                       random.Between(Duration(0), Milliseconds(600)));
+    simulation.CheckSingleHolder();
+    simulation.sim.RunUntil(simulation.sim.now +
+                            random.Between(Duration(0), Milliseconds(600)));
   }
-  world.store.faults = {};
-  for (auto& node : world.nodes)
-    node->cut = false;
-  world.sim.RunUntil(world.sim.now + Seconds(300));
-  Figures totals{{"events", world.sim.events},
-                 {"written", world.written},
-                 {"fenced", world.fenced}};
+  simulation.store.faults = {};
+  for (auto& process : simulation.processes)
+    process->cut_from_peers = false;
+  simulation.sim.RunUntil(simulation.sim.now + Seconds(300));
+  Figures totals{{"events", simulation.sim.events},
+                 {"written", simulation.written},
+                 {"fenced", simulation.fenced}};
   INFO("seed " << seed);
   std::set<PoolId> held;
-  for (auto& node : world.nodes) {
-    REQUIRE((node->superseded || node->member->HoldsLease(world.sim.now)));
-    for (const PoolId& pool : node->leases->HeldPools(world.sim.now))
+  for (auto& process : simulation.processes) {
+    REQUIRE((process->superseded ||
+             process->member->HoldsLease(simulation.sim.now)));
+    for (const PoolId& pool : process->leases->HeldPools(simulation.sim.now))
       REQUIRE(held.insert(pool).second);
-    totals["taken_over"] += node->leases->counters().taken_over;
-    totals["handed_back"] += node->leases->counters().handed_back;
-    if (!node->superseded)
-      REQUIRE(node->peers->LivePeers().size() >= 2);
+    totals["taken_over"] += process->leases->counters().taken_over;
+    totals["handed_back"] += process->leases->counters().handed_back;
+    if (!process->superseded)
+      REQUIRE(process->peers->LivePeers().size() >= 2);
   }
-  REQUIRE(held == world.pools);
+  REQUIRE(held == simulation.pools);
   return totals;
 }
 
-// Guards against two holders of a lease whose writes pass, against a pool that
-// nobody holds after the faults end, and against a process that does not
-// register again.
-TEST_CASE("leases have one effective holder under random faults") {
+// Guards against two holders of one lease whose writes both commit, against a
+// pool without a holder after the faults have ended, and against a process that
+// does not register again.
+TEST_CASE("at most one holder of a lease can commit under random faults") {
   Figures sum = RunSeeds("membership", 30,
                          [](uint64_t seed) { return RunRandom(seed, 2000); });
   REQUIRE(sum["fenced"] > 0);
@@ -263,7 +275,7 @@
   REQUIRE(sum["handed_back"] > 0);
 }
 
-MemberOptions Options(uint64_t incarnation, uint64_t seed) {
+MemberOptions MakeOptions(uint64_t incarnation, uint64_t seed) {
   return {.id = MemberId("m"),
           .incarnation = {incarnation},
           .zone = ZoneId("a"),
@@ -271,9 +283,10 @@
           .seed = seed};
 }
 
-// One member whose store calls are answered at once unless the test does it.
-struct Single {
-  explicit Single(MemoryTable* table, MemberOptions options)
+// One member. Run() and Answer() answer its store calls at once; a test may
+// answer single calls itself instead.
+struct SingleMember {
+  explicit SingleMember(MemoryTable* table, MemberOptions options)
       : table(table), member(std::move(options)) {}
 
   void Run(Duration duration) {
@@ -298,8 +311,8 @@
   Member member;
 };
 
-// Guards against a row that cannot be read back by another process.
-TEST_CASE("member and lease rows decode to the same value") {
+// Guards against a row that other processes cannot decode.
+TEST_CASE("member and lease rows decode to the encoded value") {
   MemberRecord record{.id = MemberId("m \"1\""),
                       .incarnation = {5},
                       .token = ~0ull,
@@ -318,70 +331,74 @@
   REQUIRE_FALSE(DecodeLease("lease0 \"m\" 8"));
 }
 
-// Guards against a write for each change, and a change that waits for the
-// renewal.
-TEST_CASE("changes are written at most once in 200 ms") {
+// Guards against a write for every change, and against a change that waits for
+// the next renewal.
+TEST_CASE("changes are written soon and at most once in 200 ms") {
   MemoryTable table;
-  Single s(&table, Options(1, 1));
-  s.Run(Seconds(1));
-  uint64_t before = s.member.counters().writes;
+  SingleMember single(&table, MakeOptions(1, 1));
+  single.Run(Seconds(1));
+  uint64_t before = single.member.counters().writes;
   for (ConfigVersion v = 1; v <= 100; ++v) {
-    s.member.SetAcknowledgement(v, {HostId("w" + std::to_string(v))});
-    s.Run(Milliseconds(10));
+    single.member.SetAcknowledgement(v, {HostId("w" + std::to_string(v))});
+    single.Run(Milliseconds(10));
   }
-  s.Run(Milliseconds(200));
-  uint64_t writes = s.member.counters().writes - before;
+  single.Run(Milliseconds(200));
+  uint64_t writes = single.member.counters().writes - before;
   REQUIRE(writes >= 5);
   REQUIRE(writes <= 7);
-  REQUIRE(s.Stored().version == 100);
-  REQUIRE(s.Stored().busy_hosts == std::vector{HostId("w100")});
-  before = s.member.counters().writes;
-  s.Run(Seconds(60));
-  std::printf("membership: idle %.2f writes/s\n",
-              static_cast<double>(s.member.counters().writes - before) / 60);
-  REQUIRE(s.member.counters().writes - before <= 23);
+  REQUIRE(single.Stored().version == 100);
+  REQUIRE(single.Stored().busy_hosts == std::vector{HostId("w100")});
+  before = single.member.counters().writes;
+  single.Run(Seconds(60));
+  std::printf(
+      "membership: idle %.2f writes/s\n",
+      static_cast<double>(single.member.counters().writes - before) / 60);
+  REQUIRE(single.member.counters().writes - before <= 23);
 }
 
-// Guards against a lease that counts from the answer: the holder would believe
-// in it after others took over.
-TEST_CASE("the lease counts from the sending of the renewal") {
+// Guards against a lease term that starts at the answer: the holder would still
+// rely on the lease after others have taken over.
+TEST_CASE("the lease term starts when the renewal is sent") {
   MemoryTable table;
-  Single s(&table, Options(1, 1));
-  s.Answer(s.member.Tick(s.now));
-  Time sent = s.now;
-  while (All<StoreCall>(s.member.Tick(s.now)).empty() || s.now == sent)
-    s.now += Milliseconds(100);
-  REQUIRE(s.member.lease_until() == sent + Member::kLeaseTerm);
-  REQUIRE(s.member.HoldsLease(sent + Milliseconds(9999)));
-  REQUIRE_FALSE(s.member.HoldsLease(sent + Seconds(10)));
-  REQUIRE(All<MemberLeaseLost>(s.member.Tick(sent + Seconds(10))).size() == 1);
+  SingleMember single(&table, MakeOptions(1, 1));
+  single.Answer(single.member.Tick(single.now));
+  Time sent = single.now;
+  while (All<StoreCall>(single.member.Tick(single.now)).empty() ||
+         single.now == sent)
+    single.now += Milliseconds(100);
+  REQUIRE(single.member.lease_until() == sent + Member::kLeaseTerm);
+  REQUIRE(single.member.HoldsLease(sent + Milliseconds(9999)));
+  REQUIRE_FALSE(single.member.HoldsLease(sent + Seconds(10)));
+  REQUIRE(All<MemberLeaseLost>(single.member.Tick(sent + Seconds(10))).size() ==
+          1);
 }
 
-// Guards against a write that took effect and is taken for another's.
-TEST_CASE("a lost answer of a renewal is read back") {
+// Guards against a member that mistakes its own write, whose answer was lost,
+// for the write of another process.
+TEST_CASE("a renewal whose answer was lost is resolved by reading back") {
   MemoryTable table;
-  Single s(&table, Options(1, 1));
-  s.Run(Seconds(2));
-  s.member.SetAcknowledgement(4, {});
-  StoreCall write = OnlyCall(s.member.Tick(s.now));
-  uint64_t writes = s.member.counters().writes;
+  SingleMember single(&table, MakeOptions(1, 1));
+  single.Run(Seconds(2));
+  single.member.SetAcknowledgement(4, {});
+  StoreCall write = FirstStoreCall(single.member.Tick(single.now));
+  uint64_t writes = single.member.counters().writes;
   table.Handle(write.request);
-  REQUIRE_FALSE(s.member.Expectation(s.now));
-  s.member.Handle(s.now, {write.tag, UnknownReply{}});
-  s.Run(Milliseconds(1100));
-  REQUIRE(s.member.counters().writes == writes);
-  REQUIRE(s.member.Expectation(s.now));
-  REQUIRE(s.member.counters().read_backs == 1);
-  REQUIRE(s.member.counters().conflicts == 0);
+  REQUIRE_FALSE(single.member.Expectation(single.now));
+  single.member.Handle(single.now, {write.tag, UnknownReply{}});
+  single.Run(Milliseconds(1100));
+  REQUIRE(single.member.counters().writes == writes);
+  REQUIRE(single.member.Expectation(single.now));
+  REQUIRE(single.member.counters().read_backs == 1);
+  REQUIRE(single.member.counters().conflicts == 0);
 }
 
-// Guards against a restart that looks older than the process that it replaces,
-// and against an old process that goes on.
-TEST_CASE("a new start supersedes the old one after a clock jump") {
+// Guards against a restarted process whose incarnation is not larger because
+// its wall clock was set back, and against an old process that keeps its lease.
+TEST_CASE("a restart supersedes the old process though its clock is behind") {
   MemoryTable table;
-  Single old_start(&table, Options(1000, 1));
+  SingleMember old_start(&table, MakeOptions(1000, 1));
   old_start.Run(Seconds(1));
-  Single new_start(&table, Options(10, 2));
+  SingleMember new_start(&table, MakeOptions(10, 2));
   new_start.Run(Seconds(1));
   REQUIRE(new_start.member.record().incarnation.value == 1001);
   old_start.Run(Seconds(4));
@@ -390,9 +407,9 @@
   REQUIRE(new_start.member.HoldsLease(new_start.now));
 }
 
-// Guards against a process that is taken for ended by a line of the lagging
-// host list about another instance.
-TEST_CASE("only a certain end counts") {
+// Guards against a running process that is taken for ended because the host
+// list lags behind and describes another instance.
+TEST_CASE("a process is known to have ended only if its end is certain") {
   MemberRecord m{.id = MemberId("m"),
                  .incarnation = {5},
                  .addresses = {"127.0.0.1:1"},
@@ -401,7 +418,7 @@
   std::vector<MemberRecord> all{m};
   auto ended = [&](HostListState state, uint64_t instance) {
     std::vector<HostListEntry> hosts{{"h", state, instance}};
-    return KnownEnded(m, hosts, all);
+    return IsKnownEnded(m, hosts, all);
   };
   REQUIRE(ended(HostListState::kTerminated, 3));
   REQUIRE(ended(HostListState::kLive, 4));
@@ -409,14 +426,15 @@
   REQUIRE_FALSE(ended(HostListState::kLeaving, 3));
   all.push_back(
       {.id = MemberId("n"), .incarnation = {6}, .addresses = {"127.0.0.1:1"}});
-  REQUIRE(KnownEnded(m, {}, all));
+  REQUIRE(IsKnownEnded(m, {}, all));
   all.back().incarnation = {4};
-  REQUIRE_FALSE(KnownEnded(m, {}, all));
+  REQUIRE_FALSE(IsKnownEnded(m, {}, all));
 }
 
-// Guards against heartbeats to every member of the site, a peer of an old
-// incarnation that counts as live, and scans that grow with the site.
-TEST_CASE("heartbeats and scans stay within the budget of a node") {
+// Guards against heartbeats to every member of the site, against a heartbeat of
+// an earlier incarnation that makes a peer live, and against scans whose
+// traffic grows with the site.
+TEST_CASE("heartbeats and scans stay within their traffic limits") {
   MemoryTable table;
   Peers peers(
       {MemberId("self"), MemberRole::kEntry, ZoneId("z0"), "127.0.0.1:1", 1});
@@ -436,7 +454,8 @@
     auto actions = peers.Tick(now, {});
     for (const SendHeartbeat& send : All<SendHeartbeat>(actions)) {
       const Heartbeat& b = send.heartbeat;
-      // Strings, four numbers, framing and IP/TCP headers.
+      // Strings, four 8-byte numbers, 16 bytes of framing and 52 bytes of IP
+      // and TCP headers.
       bytes += b.from.str().size() + b.zone.str().size() + b.address.size() +
                4 * 8 + 16 + 52;
     }
@@ -452,23 +471,23 @@
   REQUIRE(scan <= 1000);
   REQUIRE(peers.counters().heartbeats_sent <= 70 * (9 + 3));
 
-  Heartbeat beat{.from = MemberId("m0"),
-                 .incarnation = {9},
-                 .zone = ZoneId("z0"),
-                 .version = 3};
-  peers.Handle(now, beat);
-  REQUIRE(peers.Find(beat.from)->live);
+  Heartbeat message{.from = MemberId("m0"),
+                    .incarnation = {9},
+                    .zone = ZoneId("z0"),
+                    .version = 3};
+  peers.Handle(now, message);
+  REQUIRE(peers.Find(message.from)->live);
   peers.Tick(now + Seconds(3), {});
-  REQUIRE_FALSE(peers.Find(beat.from)->live);
-  beat.incarnation = {8};
-  peers.Handle(now + Seconds(3), beat);
-  REQUIRE_FALSE(peers.Find(beat.from)->live);
-  REQUIRE(peers.counters().old_heartbeats == 1);
+  REQUIRE_FALSE(peers.Find(message.from)->live);
+  message.incarnation = {8};
+  peers.Handle(now + Seconds(3), message);
+  REQUIRE_FALSE(peers.Find(message.from)->live);
+  REQUIRE(peers.counters().stale_heartbeats == 1);
 }
 
-// Guards against a takeover that is delayed by seconds since one scan failed,
-// and against scans without a pause while the store is away.
-TEST_CASE("a failed scan is repeated soon, and then less often") {
+// Guards against a takeover that is delayed by seconds because one scan failed,
+// and against scans without a pause while the store is unavailable.
+TEST_CASE("a failed scan is repeated soon, then with a growing delay") {
   Peers peers({MemberId("self"), MemberRole::kControl, ZoneId("z0"), "a:1", 1});
   Time start = kTimeZero + Seconds(1);
   std::vector<Duration> scans;
@@ -485,13 +504,13 @@
   REQUIRE(scans.size() <= 16);
 }
 
-// Guards against a lease taken from a holder that renewed just before.
+// Guards against a lease that is taken from a holder that has just renewed.
 TEST_CASE("taking a lease expects the holder's row as observed") {
   bool renews = GENERATE(true, false);
   MemoryTable table;
-  MemberOptions options = Options(1, 1);
+  MemberOptions options = MakeOptions(1, 1);
   options.role = MemberRole::kControl;
-  Single s(&table, options);
+  SingleMember single(&table, options);
   MemberRecord holder{.id = MemberId("h"), .incarnation = {1}, .token = 7};
   auto put = [&](const std::string& key, const std::string& value) {
     table.Handle(CommitRows{{.writes = {{key, value}}}});
@@ -499,61 +518,63 @@
   put(MemberKey(holder.id), EncodeMember(holder));
   put(LeaseKey(PoolId("p")), EncodeLease({holder.id, 7}));
   Peers peers({MemberId("m"), MemberRole::kControl, ZoneId("a"), "", 2});
-  Leases leases(3, &s.member, &peers);
+  Leases leases(3, &single.member, &peers);
   leases.SetPools({PoolId("p")});
   bool tried = false;
   while (!tried) {
-    s.Run(Milliseconds(10));
-    for (const StoreCall& call : All<StoreCall>(peers.Tick(s.now, {})))
-      peers.Handle(s.now, StoreAnswer{call.tag, table.Handle(call.request)});
-    for (const StoreCall& call : All<StoreCall>(leases.Tick(s.now))) {
+    single.Run(Milliseconds(10));
+    for (const StoreCall& call : All<StoreCall>(peers.Tick(single.now, {})))
+      peers.Handle(single.now,
+                   StoreAnswer{call.tag, table.Handle(call.request)});
+    for (const StoreCall& call : All<StoreCall>(leases.Tick(single.now))) {
       tried = std::holds_alternative<CommitRows>(call.request);
       if (tried && renews)
         put(MemberKey(holder.id), EncodeMember(holder));
-      leases.Handle(s.now, {call.tag, table.Handle(call.request)});
+      leases.Handle(single.now, {call.tag, table.Handle(call.request)});
     }
   }
-  REQUIRE(s.now >= kTimeZero + Seconds(12));
-  REQUIRE(leases.HoldsPoolLease(s.now, PoolId("p")) == !renews);
+  REQUIRE(single.now >= kTimeZero + Seconds(12));
+  REQUIRE(leases.HoldsPoolLease(single.now, PoolId("p")) == !renews);
   if (!renews)
-    REQUIRE(leases.Expectations(s.now, PoolId("p"))->size() == 2);
+    REQUIRE(leases.Expectations(single.now, PoolId("p"))->size() == 2);
 }
 
-// Guards against a planned stop that leaves a row or a lease behind, also when
-// the answer of the removal is lost.
-TEST_CASE("a planned stop releases leases and removes the own row") {
+// Guards against a planned stop that leaves the member row or a lease row
+// behind, even if the answer to the removal is lost.
+TEST_CASE("a planned stop releases all leases and removes the member row") {
   MemoryTable table;
-  MemberOptions options = Options(1, 1);
+  MemberOptions options = MakeOptions(1, 1);
   options.role = MemberRole::kControl;
-  Single s(&table, options);
+  SingleMember single(&table, options);
   Peers peers({MemberId("m"), MemberRole::kControl, ZoneId("a"), "", 2});
-  Leases leases(3, &s.member, &peers);
+  Leases leases(3, &single.member, &peers);
   leases.SetPools({PoolId("p"), PoolId("q")});
   auto run = [&](Duration duration) {
-    for (Time end = s.now + duration; s.now < end;) {
-      s.Run(Milliseconds(10));
-      for (const StoreCall& call : All<StoreCall>(peers.Tick(s.now, {})))
-        peers.Handle(s.now, StoreAnswer{call.tag, table.Handle(call.request)});
-      for (const StoreCall& call : All<StoreCall>(leases.Tick(s.now)))
-        leases.Handle(s.now, {call.tag, table.Handle(call.request)});
+    for (Time end = single.now + duration; single.now < end;) {
+      single.Run(Milliseconds(10));
+      for (const StoreCall& call : All<StoreCall>(peers.Tick(single.now, {})))
+        peers.Handle(single.now,
+                     StoreAnswer{call.tag, table.Handle(call.request)});
+      for (const StoreCall& call : All<StoreCall>(leases.Tick(single.now)))
+        leases.Handle(single.now, {call.tag, table.Handle(call.request)});
     }
   };
   run(Seconds(5));
-  REQUIRE(leases.HeldPools(s.now).size() == 2);
+  REQUIRE(leases.HeldPools(single.now).size() == 2);
   REQUIRE(table.row_count() == 3);
   leases.ReleaseAll();
   run(Seconds(1));
-  REQUIRE(leases.HeldPools(s.now).empty());
+  REQUIRE(leases.HeldPools(single.now).empty());
   REQUIRE(table.row_count() == 1);
-  s.member.Leave();
-  s.now += Milliseconds(200);
-  StoreCall removal = OnlyCall(s.member.Tick(s.now));
+  single.member.Leave();
+  single.now += Milliseconds(200);
+  StoreCall removal = FirstStoreCall(single.member.Tick(single.now));
   table.Handle(removal.request);
-  s.member.Handle(s.now, {removal.tag, UnknownReply{}});
-  s.Run(Seconds(2));
+  single.member.Handle(single.now, {removal.tag, UnknownReply{}});
+  single.Run(Seconds(2));
   REQUIRE(table.row_count() == 0);
-  REQUIRE_FALSE(s.member.registered());
-  REQUIRE(s.member.next_wake() == kTimeMax);
+  REQUIRE_FALSE(single.member.registered());
+  REQUIRE(single.member.next_wake() == kTimeMax);
 }
 
 }  // namespace
--- a/radishmoor/store/memory_table.h
+++ b/radishmoor/store/memory_table.h
@@ -1,6 +1,5 @@
-// In-memory table service and object store, linearizable, without faults.
-// Random tests and the platform stand-in use it; each adds its own faults in
-// front of it.
+// Linearizable in-memory table service and object store. It never fails; random
+// tests and the platform stand-in inject faults in front of it.
 //
 //   MemoryTable table;
 //   StoreReply reply = table.Handle(CommitRows{transaction});
@@ -39,7 +38,8 @@
   std::map<std::string, Row> rows_;
   std::map<std::string, std::string> objects_;
   std::vector<HostListEntry> hosts_;
-  // One sequence for all rows, so that a removed row never reuses a version.
+  // Last version assigned to any row. All rows share one sequence, so that a
+  // row that is removed and inserted again never reuses a version.
   RowVersion last_version_ = 0;
   uint64_t commits_ = 0;
   uint64_t conflicts_ = 0;
--- a/radishmoor/store/table.h
+++ b/radishmoor/store/table.h
@@ -1,16 +1,16 @@
-// Vocabulary of the platform's services: table service, object store and host
-// list. Decision code emits a StoreCall as an action and later receives the
-// StoreAnswer with the same tag; it never sees a connection.
+// Request and reply types of the platform's services: table service, object
+// store and host list. Decision code performs no I/O: it emits a StoreCall as
+// an action and later receives the StoreAnswer with the same tag.
 //
 //   Transaction t{.operation = op};
 //   t.expects.push_back({"config/head", 7});   // Version that must be current.
 //   t.writes.push_back({"config/head", "..."});
 //   actions.push_back(StoreCall{tag, CommitRows{t}});
 //
-// A transaction commits whole or not at all. Row versions start at 1 and grow
-// with every write of the row; version 0 stands for an absent row. A removed
-// row that is inserted again continues with a larger version, so that a
-// version never names two values.
+// A transaction commits entirely or not at all. Row versions start at 1 and
+// increase with every write of the row; version 0 stands for an absent row. A
+// row that is removed and inserted again gets a larger version than before, so
+// that a version never identifies two values.
 
 #ifndef RADISHMOOR_STORE_TABLE_H_
 #define RADISHMOOR_STORE_TABLE_H_
@@ -54,8 +54,6 @@
   std::vector<RowWrite> writes;
 };
 
-// Requests.
-
 struct ReadRows {
   std::vector<std::string> keys;
 };
@@ -95,13 +93,11 @@
                                   ListObjects,
                                   ReadHostList>;
 
-// Replies.
-
 // Answers ReadRows (one row for each key, absent rows included) and ScanRows.
 struct RowsReply {
   std::vector<Row> rows;
-  bool more = false;  // A scan ended at its limit, not at the last row.
-  // The service's steady clock when it answered, where it has one.
+  bool more = false;  // The scan ended at its limit, not at the last row.
+  // Reading of the service's monotonic clock at the answer, if it has one.
   std::optional<Duration> clock;
 };
 
@@ -129,8 +125,9 @@
 
 enum class HostListState : uint8_t { kLive, kLeaving, kTerminated };
 
-// One line of the platform's host list. The list lags in both directions.
-// kTerminated is final for the instance: the platform has confirmed its end.
+// One entry of the platform's host list. The list lags behind: new hosts may be
+// missing, and ended ones may still be listed. kTerminated is final for the
+// instance: the platform has confirmed its end.
 struct HostListEntry {
   std::string name;  // Name of a worker host or of an entry host.
   HostListState state = HostListState::kLive;
@@ -147,7 +144,7 @@
   std::string reason;
 };
 
-// The request may have taken effect: it was sent and its answer was lost.
+// The request was sent and its answer was lost, so it may have taken effect.
 struct UnknownReply {
   std::string reason;
 };
@@ -161,12 +158,13 @@
                                 UnavailableReply,
                                 UnknownReply>;
 
-// Pairs a request with its answer. The slice that emits a call chooses the tag;
-// tags are unique within that slice.
+// A request with the tag that its StoreAnswer repeats. The component that emits
+// the call chooses the tag, which is unique within that component.
 struct StoreCall {
   uint64_t tag = 0;
   StoreRequest request;
-  // Without an answer by then the outcome is unknown. 0: the client's default.
+  // Without an answer within this time the outcome is unknown (UnknownReply).
+  // 0: the store client's default.
   Duration timeout{};
 };
 
--- a/radishmoor/store/testing/faulty_table.h
+++ b/radishmoor/store/testing/faulty_table.h
@@ -1,10 +1,10 @@
-// Virtual time, processes that pause and die, and a table service with faults,
-// for random tests of decision classes.
+// Simulation in virtual time for random tests of decision classes: processes
+// that pause and are killed, and a table service with faults.
 //
 //   Simulation sim(seed);
 //   SimProcess process;
 //   FaultyTable table(&sim);
-//   sim.Post(&process, Milliseconds(5), [&] { ... });   // Not when it died.
+//   sim.Post(&process, Milliseconds(5), [&] { ... });
 //   table.Call(&process, call, [&](const StoreAnswer& a) { ... });
 //   sim.RunUntil(end);
 
@@ -31,10 +31,10 @@
 namespace radishmoor {
 
 struct SimProcess {
-  uint64_t start = 1;  // Changes when the process is killed and restarted.
+  uint64_t incarnation = 1;  // Increases when the process is killed.
   Time paused_until;
   Time wake_at = kTimeMax;
-  std::deque<std::function<void()>> backlog;  // What arrived while paused.
+  std::deque<std::function<void()>> backlog;  // Callbacks due while paused.
 
   void Pause(Time until) { paused_until = std::max(paused_until, until); }
 };
@@ -47,19 +47,19 @@
     queue_.emplace(time, std::move(run));
   }
 
-  // Runs on `process` after `delay`: later while it is paused, never when it
-  // was restarted meanwhile.
+  // Runs the callback on `process` after `delay`, or once a pause of the
+  // process has ended. Drops the callback if the process is killed before.
   void Post(SimProcess* process, Duration delay, std::function<void()> run) {
-    Post(process, process->start, delay, std::move(run));
+    Post(process, process->incarnation, delay, std::move(run));
   }
 
-  // For the process that began as `start`.
+  // As above, but drops the callback unless it runs in the given incarnation.
   void Post(SimProcess* process,
-            uint64_t start,
+            uint64_t incarnation,
             Duration delay,
             std::function<void()> run) {
-    At(now + delay, [this, process, start, run = std::move(run)] {
-      if (process->start != start)
+    At(now + delay, [this, process, incarnation, run = std::move(run)] {
+      if (process->incarnation != incarnation)
         return;
       if (process->paused_until <= now && process->backlog.empty()) {
         run();
@@ -71,7 +71,8 @@
     });
   }
 
-  // Calls `tick` at `time`, unless an earlier call is due anyway.
+  // Calls `tick` on `process` at `time`, unless a call at the same or an
+  // earlier time is pending. A pending call at a later time is replaced.
   void Wake(SimProcess* process, Time time, std::function<void()> tick) {
     if (process->wake_at > now && process->wake_at <= time)
       return;
@@ -85,9 +86,9 @@
          });
   }
 
-  // Ends the process; nothing posted to it runs any more.
+  // Kills the process: no callback posted to it so far runs any more.
   static void Kill(SimProcess* process) {
-    ++process->start;
+    ++process->incarnation;
     process->paused_until = {};
     process->wake_at = kTimeMax;
     process->backlog.clear();
@@ -110,8 +111,8 @@
  private:
   void ScheduleResume(SimProcess* process) {
     At(std::max(now, process->paused_until),
-       [this, process, start = process->start] {
-         if (process->start != start)
+       [this, process, incarnation = process->incarnation] {
+         if (process->incarnation != incarnation)
            return;
          while (!process->backlog.empty() && process->paused_until <= now) {
            auto run = std::move(process->backlog.front());
@@ -123,19 +124,21 @@
        });
   }
 
-  std::multimap<Time, std::function<void()>> queue_;  // Stable for equal times.
+  // Callbacks by time; those of the same time run in the order of insertion.
+  std::multimap<Time, std::function<void()>> queue_;
 };
 
 class FaultyTable {
  public:
   struct Faults {
     bool down = false;
-    double unavailable = 0;  // Refused without effect.
-    double lost = 0;    // Answer lost; the effect is late or never happens.
-    double silent = 0;  // As lost, and no report of it either.
-    double twice = 0;   // Request and answer are delivered a second time, late.
-    Duration max_delay = Milliseconds(10);
-    Duration max_late = Seconds(20);
+    // Probabilities of the faults of a call:
+    double unavailable = 0;  // The call is refused without effect.
+    double lost = 0;         // UnknownReply; the effect comes late or never.
+    double silent = 0;       // As `lost`, but without any reply.
+    double twice = 0;        // Request and answer arrive a second time, late.
+    Duration max_delay = Milliseconds(10);  // One way, of normal calls.
+    Duration max_late = Seconds(20);        // Of late effects and answers.
   };
 
   explicit FaultyTable(Simulation* sim) : sim_(sim) {}
@@ -144,11 +147,12 @@
             const StoreCall& call,
             std::function<void(const StoreAnswer&)> deliver) {
     Random& random = sim_->random;
-    uint64_t start = process->start;
+    uint64_t incarnation = process->incarnation;
     Duration there = random.Between(Microseconds(200), faults.max_delay);
     Duration back = random.Between(Microseconds(200), faults.max_delay);
     if (faults.down || random.Chance(faults.unavailable)) {
-      Deliver(process, start, there, {call.tag, UnavailableReply{}}, deliver);
+      Deliver(process, incarnation, there, {call.tag, UnavailableReply{}},
+              deliver);
       return;
     }
     bool silent = random.Chance(faults.silent);
@@ -156,7 +160,7 @@
       if (random.Chance(0.75))
         Apply(random.Between(Duration(0), faults.max_late), call.request);
       if (!silent) {
-        Deliver(process, start, random.Between(there, Seconds(1)),
+        Deliver(process, incarnation, random.Between(there, Seconds(1)),
                 {call.tag, UnknownReply{}}, deliver);
       }
       return;
@@ -164,11 +168,11 @@
     bool twice = random.Chance(faults.twice);
     sim_->At(sim_->now + there, [=, this] {
       StoreAnswer answer{call.tag, table.Handle(call.request)};
-      Deliver(process, start, back, answer, deliver);
+      Deliver(process, incarnation, back, answer, deliver);
       if (twice) {
         Duration late = sim_->random.Between(Duration(0), faults.max_late);
         Apply(late, call.request);
-        Deliver(process, start, back + late, answer, deliver);
+        Deliver(process, incarnation, back + late, answer, deliver);
       }
     });
   }
@@ -182,23 +186,23 @@
   }
 
   void Deliver(SimProcess* process,
-               uint64_t start,
+               uint64_t incarnation,
                Duration delay,
                StoreAnswer answer,
                const std::function<void(const StoreAnswer&)>& deliver) {
-    sim_->Post(process, start, delay,
+    sim_->Post(process, incarnation, delay,
                [answer = std::move(answer), deliver] { deliver(answer); });
   }
 
   Simulation* sim_;
 };
 
-// Figures of random runs by name.
+// Counts of a random run by name.
 using Figures = std::map<std::string, uint64_t>;
 
-// Calls `run` with the seeds 1, 2, ... and prints the sum of the figures and
-// the rate of the figure "events". The environment variable SEEDS replaces
-// `seeds`.
+// Calls `run` with the seeds 1 to `seeds`. Returns and prints the sums of its
+// counts, and prints the rate of the count "events" per second of real time.
+// The environment variable SEEDS overrides `seeds`.
 template <typename Run>
 Figures RunSeeds(const char* name, uint64_t seeds, Run run) {
   if (const char* wanted = std::getenv("SEEDS"))
@@ -219,7 +223,7 @@
   return sum;
 }
 
-// The actions of kind T.
+// Returns the actions of type T.
 template <typename T, typename Action>
 std::vector<T> All(const std::vector<Action>& actions) {
   std::vector<T> found;
@@ -230,14 +234,14 @@
   return found;
 }
 
-// The first store call of `actions`, which must hold one.
+// Returns the first store call of `actions`, which must contain one.
 template <typename Action>
-StoreCall OnlyCall(const std::vector<Action>& actions) {
+StoreCall FirstStoreCall(const std::vector<Action>& actions) {
   return All<StoreCall>(actions).at(0);
 }
 
-// A random state of the store: most of the time with few faults, at times with
-// many, slow or down.
+// Returns random faults of the store: in one of five cases each it is down,
+// slow or has many faults, otherwise it has few.
 inline FaultyTable::Faults RandomFaults(Random& random) {
   FaultyTable::Faults faults;
   switch (random.Below(5)) {
--- a/radishmoor/store/testing/memory_table_test.cc
+++ b/radishmoor/store/testing/memory_table_test.cc
@@ -15,8 +15,8 @@
   return std::get<RowsReply>(table.Handle(ReadRows{{key}})).rows.at(0);
 }
 
-// Guards against a transaction that takes effect in part.
-TEST_CASE("a failed expectation leaves every row as it was") {
+// Guards against a transaction that takes effect partially.
+TEST_CASE("a failed expectation leaves every row unchanged") {
   MemoryTable table;
   Commit(table, {}, {{"a", "1"}});
   StoreReply reply =
@@ -29,9 +29,9 @@
   REQUIRE(ReadOne(table, "b").version == 0);
 }
 
-// Guards against a removed and re-inserted row taking an old version again,
-// which would let a stale writer's expectation hold.
-TEST_CASE("versions are never reused") {
+// Guards against a row that is removed and inserted again with an old version:
+// the expectation of a stale writer would then match.
+TEST_CASE("a row that is inserted again gets a larger version") {
   MemoryTable table;
   Commit(table, {{"a", 0}}, {{"a", "1"}});
   RowVersion first = ReadOne(table, "a").version;
@@ -40,7 +40,7 @@
   REQUIRE(ReadOne(table, "a").version > first);
 }
 
-TEST_CASE("scan pages through a prefix in key order") {
+TEST_CASE("a scan returns the rows of a prefix page by page in key order") {
   MemoryTable table;
   Commit(table, {}, {{"p/1", "x"}, {"p/2", "x"}, {"p/3", "x"}, {"q", "x"}});
   auto first = std::get<RowsReply>(table.Handle(ScanRows{"p/", "", 2}));
