--- a/radishmoor/backend/backend_pool.cc
+++ b/radishmoor/backend/backend_pool.cc
@@ -626,7 +626,8 @@
   Duration left = attempt.deadline == kTimeMax
                       ? 3 * options_.max_attempt_timeout
                       : std::max(attempt.deadline - now, Duration(1));
-  const RunTimes& run_times = pools_.at(hosts_.at(attempt.host).pool).run_times;
+  const RunTimeHistogram& run_times =
+      pools_.at(hosts_.at(attempt.host).pool).run_times;
   Duration share = std::min(left / 3, options_.max_attempt_timeout);
   if (run_times.samples() < kMinSamples)
     return share;
@@ -641,7 +642,7 @@
 }
 
 Duration BackendPool::EarlyProbeAfter(const PoolId& pool) const {
-  const RunTimes& run_times = pools_.at(pool).run_times;
+  const RunTimeHistogram& run_times = pools_.at(pool).run_times;
   if (run_times.samples() < kMinSamples)
     return options_.max_attempt_timeout;
   return std::max(Scale(run_times.Quantile(0.95), kEarlyProbeFactor),
@@ -649,7 +650,7 @@
 }
 
 Duration BackendPool::TypicalRunTime(const PoolId& pool) const {
-  const RunTimes& run_times = pools_.at(pool).run_times;
+  const RunTimeHistogram& run_times = pools_.at(pool).run_times;
   if (run_times.samples() < kMinSamples)
     return kAssumedRunTime;
   return run_times.Quantile(0.5);
--- a/radishmoor/backend/backend_pool.h
+++ b/radishmoor/backend/backend_pool.h
@@ -34,7 +34,7 @@
 
 #include "radishmoor/base/ids.h"
 #include "radishmoor/base/random.h"
-#include "radishmoor/base/run_times.h"
+#include "radishmoor/base/run_time_histogram.h"
 #include "radishmoor/base/time.h"
 
 namespace radishmoor {
@@ -348,7 +348,7 @@
 
   struct Pool {
     std::set<HostId> hosts;
-    RunTimes run_times{kRunTimesFadeAt};  // Of successful exchanges.
+    RunTimeHistogram run_times{kRunTimesFadeAt};  // Of successful exchanges.
   };
 
   struct Job {
--- a/radishmoor/base/run_times.cc
+++ b/radishmoor/base/run_time_histogram.cc
@@ -1,11 +1,11 @@
-#include "radishmoor/base/run_times.h"
+#include "radishmoor/base/run_time_histogram.h"
 
 #include <algorithm>
 #include <cmath>
 
 namespace radishmoor {
 
-void RunTimes::Add(Duration run) {
+void RunTimeHistogram::Add(Duration run) {
   double micros = std::max<double>(1, static_cast<double>(run.count()));
   auto bucket = static_cast<size_t>(4 * std::log2(micros));
   ++counts_[std::min(bucket, kBuckets - 1)];
@@ -23,7 +23,7 @@
   }
 }
 
-Duration RunTimes::Quantile(double q) const {
+Duration RunTimeHistogram::Quantile(double q) const {
   auto rank = static_cast<uint32_t>(q * total_);
   uint32_t seen = 0;
   for (size_t bucket = 0; bucket < kBuckets; ++bucket) {
--- a/radishmoor/base/run_times.h
+++ b/radishmoor/base/run_time_histogram.h
@@ -1,6 +1,6 @@
 // Histogram of the run times of requests, for quantiles and a moving mean.
 //
-//   RunTimes runs;
+//   RunTimeHistogram runs;
 //   runs.Add(Milliseconds(12));
 //   Duration typical = runs.Quantile(0.5);
 //
@@ -8,8 +8,8 @@
 // All counts are halved when they add up to `halving_threshold`, so that old
 // samples fade out. Memory: 0.5 KB.
 
-#ifndef RADISHMOOR_BASE_RUN_TIMES_H_
-#define RADISHMOOR_BASE_RUN_TIMES_H_
+#ifndef RADISHMOOR_BASE_RUN_TIME_HISTOGRAM_H_
+#define RADISHMOOR_BASE_RUN_TIME_HISTOGRAM_H_
 
 #include <array>
 #include <cstddef>
@@ -19,9 +19,9 @@
 
 namespace radishmoor {
 
-class RunTimes {
+class RunTimeHistogram {
  public:
-  explicit RunTimes(uint32_t halving_threshold = 1024)
+  explicit RunTimeHistogram(uint32_t halving_threshold = 1024)
       : halving_threshold_(halving_threshold) {}
 
   void Add(Duration run);
@@ -49,4 +49,4 @@
 
 }  // namespace radishmoor
 
-#endif  // RADISHMOOR_BASE_RUN_TIMES_H_
+#endif  // RADISHMOOR_BASE_RUN_TIME_HISTOGRAM_H_
--- a/radishmoor/control/control_core.cc
+++ b/radishmoor/control/control_core.cc
@@ -195,7 +195,7 @@
       for (const auto& [id, pool] : view_.state().pools)
         pools.insert(id);
       leases_.SetPools(std::move(pools));
-      member_.SetAcknowledgement(in_force->version, {});
+      member_.SetDrainAcknowledgement(in_force->version, {});
       TimelineEvent event;
       event.kind = EventKind::kConfigInForce;
       event.config = in_force->version;
--- a/radishmoor/dispatch/dispatcher.cc
+++ b/radishmoor/dispatch/dispatcher.cc
@@ -302,7 +302,7 @@
   if (pool.free > 0) {
     return std::nullopt;
   }
-  const RunTimes& run_times =
+  const RunTimeHistogram& run_times =
       request.operation->run_times.samples() < kMinOperationSamples
           ? pool.run_times
           : request.operation->run_times;
--- a/radishmoor/dispatch/dispatcher.h
+++ b/radishmoor/dispatch/dispatcher.h
@@ -34,7 +34,7 @@
 
 #include "radishmoor/base/ids.h"
 #include "radishmoor/base/random.h"
-#include "radishmoor/base/run_times.h"
+#include "radishmoor/base/run_time_histogram.h"
 #include "radishmoor/base/time.h"
 #include "radishmoor/dispatch/head_of_line.h"
 #include "radishmoor/dispatch/messages.h"
@@ -180,7 +180,7 @@
     std::map<HostId, Target> targets;
     int capacity = 0;  // Sum of the limits of usable targets.
     int free = 0;      // Sum of the free slots of all targets.
-    RunTimes run_times;
+    RunTimeHistogram run_times;
     std::unordered_map<std::string, OperationState> operations;
     std::array<RequestList, kRequestPhases> lists;
     // Run time that aborts for restarts may still discard.
--- a/radishmoor/dispatch/head_of_line.cc
+++ b/radishmoor/dispatch/head_of_line.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-std::optional<Duration> LongThreshold(const RunTimes& pool) {
+std::optional<Duration> LongThreshold(const RunTimeHistogram& pool) {
   if (pool.samples() < kMinLongRunSamples) {
     return std::nullopt;
   }
@@ -31,7 +31,7 @@
 }
 
 bool ClassifiesLong(const HeadOfLinePolicy& policy,
-                    const RunTimes& pool,
+                    const RunTimeHistogram& pool,
                     const OperationState& operation) {
   if (std::holds_alternative<Fifo>(policy)) {
     return false;
--- a/radishmoor/dispatch/head_of_line.h
+++ b/radishmoor/dispatch/head_of_line.h
@@ -16,7 +16,7 @@
 #include <optional>
 #include <variant>
 
-#include "radishmoor/base/run_times.h"
+#include "radishmoor/base/run_time_histogram.h"
 #include "radishmoor/base/time.h"
 
 namespace radishmoor::dispatch {
@@ -70,18 +70,18 @@
 
 // Observations of one operation of a pool.
 struct OperationState {
-  RunTimes run_times;
+  RunTimeHistogram run_times;
   int in_flight = 0;       // Attempts.
   int long_in_flight = 0;  // Attempts in flight that are long already.
 };
 
 // Returns the run time from which an attempt is long, or nullopt while `pool`
 // has too few samples.
-std::optional<Duration> LongThreshold(const RunTimes& pool);
+std::optional<Duration> LongThreshold(const RunTimeHistogram& pool);
 
 // Returns true if a new request of the operation belongs to the long class.
 bool ClassifiesLong(const HeadOfLinePolicy& policy,
-                    const RunTimes& pool,
+                    const RunTimeHistogram& pool,
                     const OperationState& operation);
 
 // Returns the share of the slots that the long class leaves free.
--- a/radishmoor/entry/entry_core.cc
+++ b/radishmoor/entry/entry_core.cc
@@ -694,8 +694,8 @@
   // Otherwise a process that is ready would refuse until the next refresh.
   if (!permitted && view_.MaySend(now_))
     RefreshTargets();
-  member_.SetAcknowledgement(view_.AcknowledgedVersion(now_),
-                             view_.AcknowledgedBusyHosts(now_));
+  member_.SetDrainAcknowledgement(view_.AcknowledgedVersion(now_),
+                                  view_.AcknowledgedBusyHosts(now_));
   peers_.SetSelf(member_.record().incarnation, view_.version());
 }
 
--- a/radishmoor/membership/member.cc
+++ b/radishmoor/membership/member.cc
@@ -112,8 +112,8 @@
   record_.host_instance = options.host_instance;
 }
 
-void Member::SetAcknowledgement(ConfigVersion version,
-                                std::vector<HostId> busy_hosts) {
+void Member::SetDrainAcknowledgement(ConfigVersion version,
+                                     std::vector<HostId> busy_hosts) {
   std::sort(busy_hosts.begin(), busy_hosts.end());
   // A truncated list would acknowledge hosts that still have requests in
   // flight, so the row keeps its previous acknowledgement.
--- a/radishmoor/membership/member.h
+++ b/radishmoor/membership/member.h
@@ -5,7 +5,7 @@
 //   Member member(options);
 //   for (MemberAction& a : member.Tick(now)) ...   // Call at next_wake().
 //   member.Handle(now, store_answer);
-//   member.SetAcknowledgement(config_version, busy_hosts);
+//   member.SetDrainAcknowledgement(config_version, busy_hosts);
 //   if (member.HoldsLease(now)) ...
 //
 // The lease term is measured on the process's monotonic clock and starts when
@@ -138,8 +138,8 @@
   // change is written within kMinWriteGap as long as the store answers. Ignored
   // if there are more than kMaxBusyHosts hosts; the row then keeps the previous
   // acknowledgement.
-  void SetAcknowledgement(ConfigVersion version,
-                          std::vector<HostId> busy_hosts);
+  void SetDrainAcknowledgement(ConfigVersion version,
+                               std::vector<HostId> busy_hosts);
 
   // Starts the removal of the row, which ends with MemberLeft. The caller must
   // have no request in flight and must not send any more.
--- a/radishmoor/membership/testing/membership_test.cc
+++ b/radishmoor/membership/testing/membership_test.cc
@@ -235,7 +235,7 @@
     if (process.sim_process.paused_until <= simulation.sim.now) {
       simulation.Write(index, PoolId("p" + std::to_string(random.Below(6))));
       if (random.Chance(0.1))
-        process.member->SetAcknowledgement(++process.version, {});
+        process.member->SetDrainAcknowledgement(++process.version, {});
     }
     simulation.CheckSingleHolder();
     simulation.sim.RunUntil(simulation.sim.now +
@@ -339,7 +339,7 @@
   single.Run(Seconds(1));
   uint64_t before = single.member.counters().writes;
   for (ConfigVersion v = 1; v <= 100; ++v) {
-    single.member.SetAcknowledgement(v, {HostId("w" + std::to_string(v))});
+    single.member.SetDrainAcknowledgement(v, {HostId("w" + std::to_string(v))});
     single.Run(Milliseconds(10));
   }
   single.Run(Milliseconds(200));
@@ -379,7 +379,7 @@
   MemoryTable table;
   SingleMember single(&table, MakeOptions(1, 1));
   single.Run(Seconds(2));
-  single.member.SetAcknowledgement(4, {});
+  single.member.SetDrainAcknowledgement(4, {});
   StoreCall write = FirstStoreCall(single.member.Tick(single.now));
   uint64_t writes = single.member.counters().writes;
   table.Handle(write.request);
