--- a/radishmoor/backend/backend_pool.cc
+++ b/radishmoor/backend/backend_pool.cc
@@ -8,21 +8,21 @@
 namespace radishmoor {
 namespace {
 
-// Stands in for the typical run time until a pool has samples.
-constexpr Duration kAssumedRunTime = Milliseconds(10);
-// Quantiles of fewer samples than this are not used for time-outs.
-constexpr uint64_t kMinSamples = 20;
-// A server that is full is asked again after at most this many typical run
-// times: one of its slots has become free by then.
-constexpr int kMaxNotRunHold = 4;
-// A server that fails while ejection is withheld is paced to at most one
-// failure per this many typical run times.
-constexpr int kMaxFailureHold = 16;
-// Pacing never holds back more than this share of a pool, because it would
-// then lower the capacity left for work that succeeds.
-constexpr double kMaxHeldShare = 0.5;
-// An exchange that takes this many times the 95th percentile has its
-// connection checked through an idle one of the same host.
+// The typical run time that is assumed until a pool has enough samples.
+constexpr Duration kDefaultRunTime = Milliseconds(10);
+// Number of samples below which the quantiles of run times are not used.
+constexpr uint64_t kMinRunTimeSamples = 20;
+// Longest time, in typical run times, for which a server that answered not-run
+// is throttled. One of its slots has become free by then.
+constexpr int kMaxNotRunThrottleRuns = 4;
+// Longest time, in typical run times, for which a failure throttles a server.
+// It bounds the failures of a server that the ejection cap keeps in the pool.
+constexpr int kMaxFailureThrottleRuns = 16;
+// No host is throttled once this share of its pool is ejected or throttled,
+// because that would lower the capacity left for work that succeeds.
+constexpr double kMaxThrottledShare = 0.5;
+// An exchange that takes this many times the 95th percentile of run times
+// causes a probe on an idle connection to the same host.
 constexpr double kEarlyProbeFactor = 1.5;
 
 Duration Scale(Duration d, double factor) {
@@ -35,8 +35,6 @@
 BackendPool::BackendPool(BackendOptions options, uint64_t seed)
     : options_(options), random_(seed) {}
 
-// ---- Lookup -----------------------------------------------------------------
-
 BackendPool::Host* BackendPool::Find(const HostId& host) {
   auto it = hosts_.find(host);
   return it == hosts_.end() ? nullptr : &it->second;
@@ -53,7 +51,7 @@
 }
 
 bool BackendPool::Usable(const Host& host) const {
-  if (host.leaving != 0 || host.held)
+  if (host.leaving != 0 || host.throttled)
     return false;
   return host.health == HealthState::kHealthy ||
          host.health == HealthState::kProbation;
@@ -69,8 +67,8 @@
 }
 
 int BackendPool::Ceiling(const Host& host) const {
-  bool weak = host.ramping || host.health == HealthState::kProbation;
-  return weak ? Limit(host) : options_.max_connections;
+  bool limited = host.ramping || host.health == HealthState::kProbation;
+  return limited ? Limit(host) : options_.max_connections;
 }
 
 bool BackendPool::usable(const HostId& host) const {
@@ -121,8 +119,6 @@
   return count;
 }
 
-// ---- Configuration and leaving ----------------------------------------------
-
 BackendActions BackendPool::SetHost(Time now, const BackendHost& config) {
   auto [it, added] = hosts_.try_emplace(config.host);
   Host& host = it->second;
@@ -141,16 +137,16 @@
     pools_[host.pool].hosts.insert(config.host);
   }
   host.removed = false;
-  touched_.insert(config.host);
+  changed_hosts_.insert(config.host);
   if (config.permitted) {
-    // A host that the configuration admits again has been drained, so what an
-    // earlier server said about leaving no longer holds.
+    // A host that the configuration permits again has been drained and may run
+    // another server, so only the host list can still show it as leaving.
     if (returned)
       host.leaving &= static_cast<uint8_t>(LeavingSource::kHostList);
   } else {
     SetLeaving(now, config.host, LeavingSource::kConfiguration);
   }
-  return Take();
+  return TakeActions();
 }
 
 void BackendPool::ResetHost(Time now, const HostId& id, Host& host) {
@@ -160,24 +156,24 @@
   host.consecutive_not_run = 0;
   host.successes = 0;
   host.failures = 0;
-  host.decayed_at = now;
-  host.back_off = 0;
-  host.held = false;
+  host.rates_decayed_at = now;
+  host.ejections_since_reset = 0;
+  host.throttled = false;
   host.learned_limit = options_.max_connections;
   host.ramping = false;
   host.leaving &=
       static_cast<uint8_t>(~static_cast<uint8_t>(LeavingSource::kServer));
-  SetWake(id, host, kTimeMax);
+  SetHostTimer(id, host, kTimeMax);
 }
 
 BackendActions BackendPool::RemoveHost(Time now, const HostId& id) {
   Host* host = Find(id);
   if (host == nullptr)
-    return Take();
+    return TakeActions();
   SetLeaving(now, id, LeavingSource::kConfiguration);
   host->removed = true;
   ForgetIfUnused(id);
-  return Take();
+  return TakeActions();
 }
 
 BackendActions BackendPool::SetHostListLeaving(Time now,
@@ -197,13 +193,13 @@
                                           LeavingSource source,
                                           bool leaving) {
   if (Find(id) == nullptr)
-    return Take();
+    return TakeActions();
   if (leaving) {
     SetLeaving(now, id, source);
   } else {
     ClearLeaving(now, id, source);
   }
-  return Take();
+  return TakeActions();
 }
 
 void BackendPool::SetLeaving(Time now, const HostId& id, LeavingSource source) {
@@ -211,12 +207,12 @@
   auto bit = static_cast<uint8_t>(source);
   bool first = host.leaving == 0;
   if (source == LeavingSource::kServer)
-    SetWake(id, host, now + options_.leaving_recheck);
+    SetHostTimer(id, host, now + options_.leaving_probe_interval);
   host.leaving |= bit;
-  touched_.insert(id);
+  changed_hosts_.insert(id);
   if (!first)
     return;
-  actions_.emplace_back(Leaving{id, source});
+  actions_.emplace_back(HostLeaving{id, source});
   CloseIdle(host);
   EnforceEjectionCap(now, host.pool);
 }
@@ -229,15 +225,16 @@
   if ((host.leaving & bit) == 0)
     return;
   host.leaving &= static_cast<uint8_t>(~bit);
-  touched_.insert(id);
+  changed_hosts_.insert(id);
   if (host.leaving != 0)
     return;
-  // The timers of the health states may have run out meanwhile.
-  host.held = false;
+  // Timers of the health state that fired while the host was leaving had no
+  // effect, so an unfinished ejection ends now.
+  host.throttled = false;
   if (host.health == HealthState::kEjected ||
       host.health == HealthState::kChecking) {
     host.health = HealthState::kEjected;
-    SetWake(id, host, now);
+    SetHostTimer(id, host, now);
   }
   EnforceEjectionCap(now, host.pool);
 }
@@ -247,22 +244,20 @@
   if (it == hosts_.end() || !it->second.removed ||
       !it->second.connections.empty())
     return;
-  // Pools stay: their number is bounded by the configuration, and the run
-  // times stay valid when hosts come back.
+  // The pool entry is kept even without hosts: the configuration bounds the
+  // number of pools, and the run times stay valid when hosts return.
   pools_[it->second.pool].hosts.erase(id);
-  SetWake(id, it->second, kTimeMax);
-  if (it->second.told_usable)
+  SetHostTimer(id, it->second, kTimeMax);
+  if (it->second.reported_usable)
     actions_.emplace_back(TargetChanged{id, false, 0, 0});
   hosts_.erase(it);
 }
 
-// ---- Connections ------------------------------------------------------------
-
 BackendActions BackendPool::Acquire(Time now, const AcquireRequest& request) {
   Host* host = Find(request.host);
   auto refuse = [&](AcquireError error) {
     FailAttempt(request, error);
-    return Take();
+    return TakeActions();
   };
   if (host == nullptr)
     return refuse(AcquireError::kUnknownHost);
@@ -270,10 +265,10 @@
     return refuse(AcquireError::kLeaving);
   if (!Usable(*host) ||
       (host->health == HealthState::kProbation && host->in_flight > 0))
-    return refuse(AcquireError::kHeldBack);
+    return refuse(AcquireError::kHostUnavailable);
 
-  // The most recently used connection is the least likely to have been
-  // forgotten on the way, and the others reach their idle expiry.
+  // The most recently used connection is the least likely to be silent, and
+  // leaving the others unused lets them reach their idle expiry.
   ConnectionId idle{0};
   ConnectionId replaceable{0};
   for (auto it = host->connections.rbegin(); it != host->connections.rend();
@@ -284,82 +279,85 @@
         idle = *it;
       replaceable = *it;
     } else if (connection.state == ConnectionState::kProbing &&
-               !connection.check) {
+               !connection.for_host_check) {
       replaceable = *it;
     }
   }
   if (idle.value != 0) {
     Connection& connection = connections_.at(idle);
-    bool verified = now - connection.last_alive <= options_.verify_after;
+    bool verified =
+        now - connection.last_received_at <= options_.verify_idle_after;
     if (request.idempotent || verified || !options_.detect_silent) {
       ++host->in_flight;
       connection.attempt = request;
-      Start(now, idle, connection);
-      return Take();
+      StartAttempt(now, idle, connection);
+      return TakeActions();
     }
-    // A new connection costs the same round trip as a probe of this one, and
-    // does not add the probe's time-out when this one is silent.
-    Remove(idle, true);
+    // Opening a connection costs the same round trip as probing this one, but
+    // no probe time-out if this one is silent.
+    RemoveConnection(idle, true);
   } else if (static_cast<int>(host->connections.size()) >=
              options_.max_connections) {
     if (replaceable.value == 0)
       return refuse(AcquireError::kNoConnection);
-    Remove(replaceable, true);
+    RemoveConnection(replaceable, true);
   }
-  Open(now, request.host, request, false);
-  return Take();
+  RequestConnection(now, request.host, request, false);
+  return TakeActions();
 }
 
-void BackendPool::Open(Time now,
-                       const HostId& id,
-                       std::optional<AcquireRequest> attempt,
-                       bool check) {
+void BackendPool::RequestConnection(Time now,
+                                    const HostId& id,
+                                    std::optional<AcquireRequest> attempt,
+                                    bool for_host_check) {
   Host& host = hosts_.at(id);
   ConnectionId connection_id{next_connection_++};
   Connection& connection = connections_[connection_id];
   connection.host = id;
-  connection.check = check;
+  connection.for_host_check = for_host_check;
   connection.attempt = std::move(attempt);
-  connection.started = now;
+  connection.started_at = now;
   if (connection.attempt)
     ++host.in_flight;
   host.connections.push_back(connection_id);
   RADISHMOOR_INVARIANT(
       "backend.connection_limit",
       static_cast<int>(host.connections.size()) <= options_.max_connections);
-  SetTimer(connection_id, connection, now + options_.open_timeout);
+  SetConnectionTimer(connection_id, connection, now + options_.open_timeout);
   actions_.emplace_back(OpenConnection{id, connection_id});
 }
 
 BackendActions BackendPool::OnConnectionOpened(Time now, ConnectionId id) {
   Connection* connection = Find(id);
   if (connection == nullptr || connection->state != ConnectionState::kOpening)
-    return Take();
-  connection->opened = now;
-  connection->last_alive = now;
+    return TakeActions();
+  connection->opened_at = now;
+  connection->last_received_at = now;
   Host& host = hosts_.at(connection->host);
   host.unreachable = false;
-  if (connection->check) {
-    Probe(now, id, *connection);
-    return Take();
+  if (connection->for_host_check) {
+    SendProbe(now, id, *connection);
+    return TakeActions();
   }
   if (!connection->attempt) {
     MakeIdle(now, id, *connection);
-    return Take();
+    return TakeActions();
   }
   if (host.leaving != 0) {
     AcquireRequest attempt = *connection->attempt;
     EndAttempt(*connection);
     FailAttempt(attempt, AcquireError::kLeaving);
-    Remove(id, true);
-    return Take();
+    RemoveConnection(id, true);
+    return TakeActions();
   }
   connection->state = ConnectionState::kIdle;
-  Start(now, id, *connection);
-  return Take();
+  StartAttempt(now, id, *connection);
+  return TakeActions();
 }
 
-void BackendPool::Start(Time now, ConnectionId id, Connection& connection) {
+void BackendPool::StartAttempt(Time now,
+                               ConnectionId id,
+                               Connection& connection) {
   Host& host = hosts_.at(connection.host);
   RADISHMOOR_INVARIANT("backend.one_exchange_per_connection",
                        connection.state == ConnectionState::kIdle);
@@ -368,26 +366,27 @@
   RADISHMOOR_INVARIANT("backend.no_new_work_when_leaving", host.leaving == 0);
   idle_order_.erase({connection.idle_since, id});
   connection.state = ConnectionState::kBusy;
-  connection.started = now;
-  connection.reported = false;
-  connection.early_probe = false;
-  // Used ones move to the end, so that a scan from there meets them first.
+  connection.started_at = now;
+  connection.suspect_reported = false;
+  connection.early_probe_done = false;
+  // Keeps the connections ordered by last use, the most recent one last.
   std::erase(host.connections, id);
   host.connections.push_back(id);
   Time suspect_at = now + AttemptTimeout(now, *connection.attempt);
   connection.suspect_at = suspect_at;
   Time early = now + EarlyProbeAfter(host.pool);
-  SetTimer(id, connection,
-           options_.detect_silent ? std::min(early, suspect_at) : kTimeMax);
+  SetConnectionTimer(
+      id, connection,
+      options_.detect_silent ? std::min(early, suspect_at) : kTimeMax);
   actions_.emplace_back(StartExchange{connection.host, id,
                                       connection.attempt->request, suspect_at});
 }
 
-void BackendPool::Probe(Time now, ConnectionId id, Connection& connection) {
+void BackendPool::SendProbe(Time now, ConnectionId id, Connection& connection) {
   idle_order_.erase({connection.idle_since, id});
   connection.state = ConnectionState::kProbing;
-  connection.started = now;
-  SetTimer(id, connection, now + options_.probe_timeout);
+  connection.started_at = now;
+  SetConnectionTimer(id, connection, now + options_.probe_timeout);
   ++counters_.probes;
   actions_.emplace_back(ProbeConnection{connection.host, id});
 }
@@ -395,15 +394,15 @@
 void BackendPool::MakeIdle(Time now, ConnectionId id, Connection& connection) {
   Host& host = hosts_.at(connection.host);
   connection.suspect = false;
-  connection.check = false;
+  connection.for_host_check = false;
   if (host.leaving != 0) {
-    Remove(id, true);
+    RemoveConnection(id, true);
     return;
   }
   connection.state = ConnectionState::kIdle;
   connection.idle_since = now;
   idle_order_.insert({now, id});
-  SetTimer(id, connection, now + options_.idle_expiry);
+  SetConnectionTimer(id, connection, now + options_.idle_expiry);
   int idle = 0;
   ConnectionId oldest{0};
   for (ConnectionId other : host.connections) {
@@ -413,19 +412,19 @@
       oldest = other;
   }
   if (idle > options_.max_idle_per_host)
-    Remove(oldest, true);
+    RemoveConnection(oldest, true);
   else if (static_cast<int>(idle_order_.size()) > options_.max_idle_total)
-    Remove(idle_order_.begin()->second, true);
+    RemoveConnection(idle_order_.begin()->second, true);
 }
 
-void BackendPool::Remove(ConnectionId id, bool close) {
+void BackendPool::RemoveConnection(ConnectionId id, bool close) {
   auto it = connections_.find(id);
   Connection& connection = it->second;
   HostId host_id = connection.host;
   RADISHMOOR_INVARIANT("backend.attempt_ended_before_removal",
                        !connection.attempt.has_value());
   idle_order_.erase({connection.idle_since, id});
-  SetTimer(id, connection, kTimeMax);
+  SetConnectionTimer(id, connection, kTimeMax);
   if (close)
     actions_.emplace_back(CloseConnection{host_id, id});
   connections_.erase(it);
@@ -438,8 +437,9 @@
   for (ConnectionId id : ids) {
     const Connection& connection = connections_.at(id);
     if (connection.state == ConnectionState::kIdle ||
-        (connection.state == ConnectionState::kProbing && !connection.check))
-      Remove(id, true);
+        (connection.state == ConnectionState::kProbing &&
+         !connection.for_host_check))
+      RemoveConnection(id, true);
   }
 }
 
@@ -455,49 +455,50 @@
   Host& host = hosts_.at(connection.host);
   --host.in_flight;
   RADISHMOOR_INVARIANT("backend.in_flight_not_negative", host.in_flight >= 0);
-  touched_.insert(connection.host);
+  changed_hosts_.insert(connection.host);
 }
 
 BackendActions BackendPool::OnConnectionOpenFailed(Time now, ConnectionId id) {
   Connection* connection = Find(id);
   if (connection == nullptr || connection->state != ConnectionState::kOpening)
-    return Take();
-  FailOpen(now, id, AcquireError::kOpenFailed, false);
-  return Take();
+    return TakeActions();
+  FailConnectionOpen(now, id, AcquireError::kOpenFailed, false);
+  return TakeActions();
 }
 
-void BackendPool::FailOpen(Time now,
-                           ConnectionId id,
-                           AcquireError error,
-                           bool close) {
+void BackendPool::FailConnectionOpen(Time now,
+                                     ConnectionId id,
+                                     AcquireError error,
+                                     bool close) {
   Connection& connection = connections_.at(id);
   HostId host = connection.host;
-  bool check = connection.check;
-  Time started = connection.started;
+  bool for_host_check = connection.for_host_check;
+  Time started_at = connection.started_at;
   if (connection.attempt) {
     FailAttempt(*connection.attempt, error);
     EndAttempt(connection);
   }
-  Remove(id, close);
+  RemoveConnection(id, close);
   ++counters_.open_failures;
   if (Find(host) == nullptr)
     return;
-  if (check)
-    CheckFailed(now, host);
+  if (for_host_check)
+    OnHostCheckFailed(now, host);
   else
-    RecordFailure(now, host, 0, true, started);
+    RecordFailure(now, host, 0, true, started_at);
 }
 
-BackendActions BackendPool::OnExchangeFinished(Time now,
-                                               const Exchange& exchange) {
+BackendActions BackendPool::OnExchangeFinished(
+    Time now,
+    const FinishedExchange& exchange) {
   Connection* connection = Find(exchange.connection);
   if (connection == nullptr || connection->state != ConnectionState::kBusy)
-    return Take();
+    return TakeActions();
   HostId id = connection->host;
   Host& host = hosts_.at(id);
   AcquireRequest attempt = *connection->attempt;
-  Time started = connection->started;
-  connection->last_alive = now;
+  Time started_at = connection->started_at;
+  connection->last_received_at = now;
   if (exchange.leaving)
     SetLeaving(now, id, LeavingSource::kServer);
   bool at_limit = host.in_flight >= Limit(host);
@@ -505,30 +506,31 @@
   if (exchange.reusable) {
     MakeIdle(now, exchange.connection, *connection);
   } else {
-    // The net layer closes it; the host may be forgotten here.
-    Remove(exchange.connection, true);
+    // If this was the last connection of a removed host, the host goes with it.
+    RemoveConnection(exchange.connection, true);
   }
   if (Find(id) == nullptr)
-    return Take();
-  host.last_answer = now;
+    return TakeActions();
+  host.last_answer_at = now;
   switch (exchange.result) {
     case ExchangeResult::kSuccess:
-      pools_[host.pool].run_times.Add(now - started);
-      RecordSuccess(now, id, attempt.job, started, at_limit);
+      pools_[host.pool].run_times.Add(now - started_at);
+      RecordSuccess(now, id, attempt.request_hash, started_at, at_limit);
       break;
     case ExchangeResult::kFailure:
-      RecordFailure(now, id, attempt.job, false, started);
+      RecordFailure(now, id, attempt.request_hash, false, started_at);
       break;
     case ExchangeResult::kNotRunFull:
-      RecordNotRun(now, id, started);
+      RecordNotRun(now, id, started_at);
       break;
     case ExchangeResult::kWrongPool:
-      Eject(now, id, EjectReason::kWrongPool);
-      // Ejection may be withheld; such answers come fast all the same.
-      Hold(now, id, TypicalRunTime(host.pool) * kMaxFailureHold);
+      EjectHost(now, id, EjectReason::kWrongPool);
+      // The ejection cap may keep the host in the pool. A wrong-pool answer
+      // comes fast, so the host would attract requests if not throttled.
+      Throttle(now, id, TypicalRunTime(host.pool) * kMaxFailureThrottleRuns);
       break;
   }
-  return Take();
+  return TakeActions();
 }
 
 BackendActions BackendPool::OnProbeAnswered(Time now,
@@ -536,49 +538,49 @@
                                             bool leaving) {
   Connection* connection = Find(id);
   if (connection == nullptr || connection->state != ConnectionState::kProbing)
-    return Take();
+    return TakeActions();
   HostId host_id = connection->host;
-  bool check = connection->check;
-  connection->last_alive = now;
-  if (check && !leaving)
-    CheckPassed(now, host_id);
+  bool for_host_check = connection->for_host_check;
+  connection->last_received_at = now;
+  if (for_host_check && !leaving)
+    OnHostCheckPassed(now, host_id);
   MakeIdle(now, id, *connection);
   if (leaving && Find(host_id) != nullptr)
     SetLeaving(now, host_id, LeavingSource::kServer);
-  return Take();
+  return TakeActions();
 }
 
 BackendActions BackendPool::OnConnectionClosed(Time now, ConnectionId id) {
   Connection* connection = Find(id);
   if (connection == nullptr)
-    return Take();
+    return TakeActions();
   if (connection->state == ConnectionState::kOpening) {
-    FailOpen(now, id, AcquireError::kOpenFailed, false);
-    return Take();
+    FailConnectionOpen(now, id, AcquireError::kOpenFailed, false);
+    return TakeActions();
   }
   HostId host = connection->host;
-  bool check = connection->check;
-  Time started = connection->started;
+  bool for_host_check = connection->for_host_check;
+  Time started_at = connection->started_at;
   std::optional<AcquireRequest> attempt = connection->attempt;
   EndAttempt(*connection);
-  Remove(id, false);
+  RemoveConnection(id, false);
   if (Find(host) == nullptr)
-    return Take();
-  if (check)
-    CheckFailed(now, host);
+    return TakeActions();
+  if (for_host_check)
+    OnHostCheckFailed(now, host);
   else if (attempt)
-    RecordFailure(now, host, attempt->job, false, started);
-  return Take();
+    RecordFailure(now, host, attempt->request_hash, false, started_at);
+  return TakeActions();
 }
 
 BackendActions BackendPool::OnTimeout(Time now, ConnectionId id) {
   Connection* connection = Find(id);
   if (connection == nullptr || connection->state != ConnectionState::kBusy)
-    return Take();
-  if (!connection->reported)
-    SuspectOthers(now, connection->host, id);
-  EndUnanswered(now, id);
-  return Take();
+    return TakeActions();
+  if (!connection->suspect_reported)
+    SuspectOtherConnections(now, connection->host, id);
+  EndUnansweredExchange(now, id);
+  return TakeActions();
 }
 
 BackendActions BackendPool::Abandon(Time now,
@@ -586,41 +588,39 @@
                                     RequestId request) {
   Host* host = Find(id);
   if (host == nullptr)
-    return Take();
+    return TakeActions();
   for (ConnectionId connection_id : host->connections) {
     Connection& connection = connections_.at(connection_id);
     if (!connection.attempt || connection.attempt->request != request)
       continue;
     if (connection.state == ConnectionState::kOpening) {
       EndAttempt(connection);
-    } else if (connection.reported) {
-      EndUnanswered(now, connection_id);
+    } else if (connection.suspect_reported) {
+      EndUnansweredExchange(now, connection_id);
     } else {
       EndAttempt(connection);
-      Remove(connection_id, true);
+      RemoveConnection(connection_id, true);
     }
     break;
   }
-  return Take();
+  return TakeActions();
 }
 
 // Closes a connection whose exchange got no answer. The failure counts against
-// the host unless it answered another exchange meanwhile: then the connection
-// was silent or the job long.
-void BackendPool::EndUnanswered(Time now, ConnectionId id) {
+// the host unless the host answered another exchange meanwhile, in which case
+// the connection was silent or the request takes long.
+void BackendPool::EndUnansweredExchange(Time now, ConnectionId id) {
   Connection& connection = connections_.at(id);
   HostId host_id = connection.host;
-  Time started = connection.started;
-  RequestContentHash job = connection.attempt->job;
+  Time started_at = connection.started_at;
+  RequestContentHash request_hash = connection.attempt->request_hash;
   EndAttempt(connection);
-  Remove(id, true);
+  RemoveConnection(id, true);
   Host* host = Find(host_id);
-  if (host != nullptr && host->last_answer <= started)
-    RecordFailure(now, host_id, job, false, started);
+  if (host != nullptr && host->last_answer_at <= started_at)
+    RecordFailure(now, host_id, request_hash, false, started_at);
 }
 
-// ---- Silent connections -----------------------------------------------------
-
 Duration BackendPool::AttemptTimeout(Time now,
                                      const AcquireRequest& attempt) const {
   Duration left = attempt.deadline == kTimeMax
@@ -628,21 +628,23 @@
                       : std::max(attempt.deadline - now, Duration(1));
   const RunTimes& run_times = pools_.at(hosts_.at(attempt.host).pool).run_times;
   Duration share = std::min(left / 3, options_.max_attempt_timeout);
-  if (run_times.samples() < kMinSamples)
+  if (run_times.samples() < kMinRunTimeSamples)
     return share;
   Duration p95 = run_times.Quantile(0.95);
   Duration timeout =
       std::clamp(Scale(p95, options_.attempt_timeout_factor),
                  options_.min_attempt_timeout, options_.max_attempt_timeout);
-  // With a tight deadline a third of the rest may be shorter than most runs;
-  // suspecting those would only double the load.
+  // With a tight deadline, a third of the time left may be shorter than most
+  // runs. Suspecting those would only double the load by retries, so the
+  // time-out is at least 1.2 times the 95th percentile, or 0.6 of the time left
+  // if that is less.
   Duration floor = std::min(Scale(p95, 1.2), Scale(left, 0.6));
   return std::max(std::min(timeout, share), floor);
 }
 
 Duration BackendPool::EarlyProbeAfter(const PoolId& pool) const {
   const RunTimes& run_times = pools_.at(pool).run_times;
-  if (run_times.samples() < kMinSamples)
+  if (run_times.samples() < kMinRunTimeSamples)
     return options_.max_attempt_timeout;
   return std::max(Scale(run_times.Quantile(0.95), kEarlyProbeFactor),
                   options_.min_attempt_timeout / 2);
@@ -650,16 +652,17 @@
 
 Duration BackendPool::TypicalRunTime(const PoolId& pool) const {
   const RunTimes& run_times = pools_.at(pool).run_times;
-  if (run_times.samples() < kMinSamples)
-    return kAssumedRunTime;
+  if (run_times.samples() < kMinRunTimeSamples)
+    return kDefaultRunTime;
   return run_times.Quantile(0.5);
 }
 
-// All connections of the host that were opened before now may have been
-// forgotten on the way together with `cause`.
-void BackendPool::SuspectOthers(Time now,
-                                const HostId& id,
-                                ConnectionId cause) {
+// Marks the other open connections to the host as suspect, because what made
+// `cause` silent may have made them silent as well. Probes the idle ones and
+// shortens the time-outs of the busy ones.
+void BackendPool::SuspectOtherConnections(Time now,
+                                          const HostId& id,
+                                          ConnectionId cause) {
   if (!options_.detect_silent)
     return;
   ++counters_.suspicions;
@@ -673,22 +676,23 @@
       continue;
     connection.suspect = true;
     if (connection.state == ConnectionState::kIdle) {
-      Probe(now, other, connection);
+      SendProbe(now, other, connection);
     } else if (connection.state == ConnectionState::kBusy &&
-               !connection.reported) {
-      // One sign of silence is known already, so less waiting is needed.
-      connection.early_probe = true;
+               !connection.suspect_reported) {
+      // `cause` is evidence of silence already, so a shorter time-out is
+      // enough.
+      connection.early_probe_done = true;
       connection.suspect_at = std::max(
-          now, std::min(connection.suspect_at, connection.started + early));
-      SetTimer(other, connection, connection.suspect_at);
+          now, std::min(connection.suspect_at, connection.started_at + early));
+      SetConnectionTimer(other, connection, connection.suspect_at);
     }
   }
 }
 
 void BackendPool::ReportSuspect(ConnectionId id, Connection& connection) {
-  connection.reported = true;
+  connection.suspect_reported = true;
   connection.suspect = true;
-  SetTimer(id, connection, kTimeMax);
+  SetConnectionTimer(id, connection, kTimeMax);
   ++counters_.attempt_timeouts;
   actions_.emplace_back(
       AttemptSuspect{connection.host, id, connection.attempt->request});
@@ -698,10 +702,10 @@
   Connection& connection = connections_.at(id);
   switch (connection.state) {
     case ConnectionState::kOpening:
-      FailOpen(now, id, AcquireError::kOpenTimedOut, true);
+      FailConnectionOpen(now, id, AcquireError::kOpenTimedOut, true);
       return;
     case ConnectionState::kIdle:
-      Remove(id, true);
+      RemoveConnection(id, true);
       return;
     case ConnectionState::kProbing:
       OnProbeTimeout(now, id);
@@ -711,19 +715,19 @@
   }
   if (now >= connection.suspect_at) {
     ReportSuspect(id, connection);
-    SuspectOthers(now, connection.host, id);
+    SuspectOtherConnections(now, connection.host, id);
     return;
   }
-  connection.early_probe = true;
-  SetTimer(id, connection, connection.suspect_at);
-  // The exchange is long; whether its connection is silent shows on an idle
-  // one that is at least as old.
+  connection.early_probe_done = true;
+  SetConnectionTimer(id, connection, connection.suspect_at);
+  // The exchange takes long. A probe on an idle connection that existed when it
+  // started shows whether connections to the host have become silent.
   for (ConnectionId other : hosts_.at(connection.host).connections) {
     Connection& sibling = connections_.at(other);
     if (sibling.state != ConnectionState::kIdle ||
-        sibling.opened > connection.started)
+        sibling.opened_at > connection.started_at)
       continue;
-    Probe(now, other, sibling);
+    SendProbe(now, other, sibling);
     return;
   }
 }
@@ -731,109 +735,114 @@
 void BackendPool::OnProbeTimeout(Time now, ConnectionId id) {
   Connection& connection = connections_.at(id);
   HostId host = connection.host;
-  bool check = connection.check;
+  bool for_host_check = connection.for_host_check;
   ++counters_.probe_timeouts;
-  Remove(id, true);
+  RemoveConnection(id, true);
   if (Find(host) == nullptr)
     return;
-  if (check)
-    CheckFailed(now, host);
+  if (for_host_check)
+    OnHostCheckFailed(now, host);
   else
-    SuspectOthers(now, host, id);
+    SuspectOtherConnections(now, host, id);
 }
 
-void BackendPool::SetTimer(ConnectionId id, Connection& connection, Time at) {
-  if (connection.timer != kTimeMax)
-    connection_timers_.erase({connection.timer, id});
-  connection.timer = at;
+void BackendPool::SetConnectionTimer(ConnectionId id,
+                                     Connection& connection,
+                                     Time at) {
+  if (connection.timer_at != kTimeMax)
+    connection_timers_.erase({connection.timer_at, id});
+  connection.timer_at = at;
   if (at != kTimeMax)
     connection_timers_.insert({at, id});
 }
 
-// ---- Health -----------------------------------------------------------------
-
-void BackendPool::Decay(Time now, Host& host) {
-  double factor = std::exp(-ToSeconds(now - host.decayed_at) /
+void BackendPool::DecayRates(Time now, Host& host) {
+  double factor = std::exp(-ToSeconds(now - host.rates_decayed_at) /
                            ToSeconds(options_.rate_window));
   host.successes *= factor;
   host.failures *= factor;
-  host.decayed_at = now;
+  host.rates_decayed_at = now;
 }
 
 void BackendPool::RecordSuccess(Time now,
                                 const HostId& id,
-                                RequestContentHash job,
-                                Time started,
+                                RequestContentHash request_hash,
+                                Time started_at,
                                 bool at_limit) {
   Host& host = hosts_.at(id);
-  jobs_.erase(job);
-  Decay(now, host);
+  failed_requests_.erase(request_hash);
+  DecayRates(now, host);
   host.successes += 1;
   host.consecutive_failures = 0;
   host.consecutive_not_run = 0;
-  touched_.insert(id);
+  changed_hosts_.insert(id);
   if (host.health == HealthState::kProbation) {
-    if (started >= host.probation_since &&
+    if (started_at >= host.probation_started_at &&
         ++host.probation_successes >= options_.restore_after_successes)
-      Restore(now, id);
+      RestoreHost(now, id);
     return;
   }
-  // Growing a limit that does not bind would raise it without evidence.
+  // A success below the limit is no evidence that the host could take more.
   if (at_limit)
     RaiseLimit(host);
-  if (host.back_off > 0 && now - host.restored_at >= options_.forgive_after)
-    host.back_off = 0;
+  if (host.ejections_since_reset > 0 &&
+      now - host.restored_at >= options_.reset_ejections_after)
+    host.ejections_since_reset = 0;
 }
 
 void BackendPool::RecordFailure(Time now,
                                 const HostId& id,
-                                RequestContentHash job,
+                                RequestContentHash request_hash,
                                 bool unreachable,
-                                Time started) {
-  if (!unreachable && ChargeToJob(now, id, job))
+                                Time started_at) {
+  if (!unreachable && RecordRequestFailure(now, id, request_hash))
     return;
   Host& host = hosts_.at(id);
   host.unreachable = unreachable;
   if (host.health == HealthState::kProbation) {
-    if (started >= host.probation_since)
-      Eject(now, id, EjectReason::kProbationFailed);
+    if (started_at >= host.probation_started_at)
+      EjectHost(now, id, EjectReason::kProbationFailed);
     return;
   }
   if (host.health != HealthState::kHealthy)
     return;
-  Decay(now, host);
+  DecayRates(now, host);
   host.failures += 1;
   ++host.consecutive_failures;
   ConsiderEjection(now, id);
   if (host.health != HealthState::kHealthy)
     return;
-  // A server that fails faster than others work would be free more often and
-  // take more than its share, so a failure occupies it for a typical run.
+  // A server that fails faster than others work is idle more often and would
+  // attract more than its share of requests, so a failure occupies the server
+  // for at least a typical run time. The time doubles with each failure in a
+  // row.
   Duration typical = TypicalRunTime(host.pool);
-  int factor = std::min(kMaxFailureHold,
+  int factor = std::min(kMaxFailureThrottleRuns,
                         1 << std::min(host.consecutive_failures - 1, 10));
-  Hold(now, id, typical * factor - (now - started));
+  Throttle(now, id, typical * factor - (now - started_at));
 }
 
-void BackendPool::RecordNotRun(Time now, const HostId& id, Time started) {
+void BackendPool::RecordNotRun(Time now, const HostId& id, Time started_at) {
   Host& host = hosts_.at(id);
-  touched_.insert(id);
+  changed_hosts_.insert(id);
   Duration typical = TypicalRunTime(host.pool);
-  bool at_least = Limit(host) == 1;
-  // It is busy, which a server that is still weak would not be.
+  bool at_minimum = Limit(host) == 1;
+  // A server that refuses because it is full is in full use, so the ramp-up
+  // after its restoration has ended.
   host.ramping = false;
-  // Requests sent before the last decrease met the old limit.
-  if (started >= host.limit_lowered) {
+  // Requests sent before the last decrease were subject to the old limit, so
+  // their not-run answers do not lower the limit again.
+  if (started_at >= host.limit_lowered_at) {
     double base = std::min<double>(host.learned_limit, host.in_flight + 1);
     host.learned_limit = std::max(1.0, base * 0.7);
-    host.limit_lowered = now;
+    host.limit_lowered_at = now;
   }
   ++host.consecutive_not_run;
-  if (!at_least)
+  if (!at_minimum)
     return;
-  int factor =
-      std::min(kMaxNotRunHold, 1 << std::min(host.consecutive_not_run - 1, 10));
-  Hold(now, id, typical * factor);
+  int factor = std::min(kMaxNotRunThrottleRuns,
+                        1 << std::min(host.consecutive_not_run - 1, 10));
+  Throttle(now, id, typical * factor);
 }
 
 void BackendPool::RaiseLimit(Host& host) {
@@ -843,28 +852,30 @@
     host.ramping = false;
 }
 
-// Whether the failure belongs to the job. Failures of the job on other hosts
-// are then taken off those hosts.
-bool BackendPool::ChargeToJob(Time now,
-                              const HostId& id,
-                              RequestContentHash hash) {
-  if (hash == 0 || !options_.charge_jobs)
+// Records that a request with this content failed on the host. Returns whether
+// the request rather than the host is at fault. When a request is first found
+// at fault, its earlier failures are subtracted from the other hosts.
+bool BackendPool::RecordRequestFailure(Time now,
+                                       const HostId& id,
+                                       RequestContentHash hash) {
+  if (hash == 0 || !options_.detect_poison_requests)
     return false;
-  if (static_cast<int>(jobs_.size()) >= options_.max_tracked_jobs)
-    ForgetOldJobs(now);
-  Job& job = jobs_[hash];
-  job.last = now;
-  if (std::find(job.failed_on.begin(), job.failed_on.end(), id) ==
-      job.failed_on.end())
-    job.failed_on.push_back(id);
-  if (!job.charged &&
-      static_cast<int>(job.failed_on.size()) < options_.job_fails_on_hosts)
+  if (static_cast<int>(failed_requests_.size()) >=
+      options_.max_tracked_requests)
+    EvictFailedRequests(now);
+  FailedRequest& failed = failed_requests_[hash];
+  failed.last_failed_at = now;
+  if (std::find(failed.failed_hosts.begin(), failed.failed_hosts.end(), id) ==
+      failed.failed_hosts.end())
+    failed.failed_hosts.push_back(id);
+  if (!failed.is_poison && static_cast<int>(failed.failed_hosts.size()) <
+                               options_.poison_after_hosts)
     return false;
-  if (!job.charged) {
-    job.charged = true;
-    ++counters_.jobs_charged;
-    actions_.emplace_back(JobCharged{hash});
-    for (const HostId& earlier : job.failed_on) {
+  if (!failed.is_poison) {
+    failed.is_poison = true;
+    ++counters_.poison_requests;
+    actions_.emplace_back(PoisonRequestDetected{hash});
+    for (const HostId& earlier : failed.failed_hosts) {
       Host* host = earlier == id ? nullptr : Find(earlier);
       if (host == nullptr)
         continue;
@@ -872,37 +883,39 @@
       host->consecutive_failures = std::max(0, host->consecutive_failures - 1);
     }
   }
-  // Which hosts it fails on no longer matters.
-  job.failed_on.resize(
-      std::min<size_t>(job.failed_on.size(), options_.job_fails_on_hosts));
+  // Bounds the memory: further hosts do not change the verdict.
+  failed.failed_hosts.resize(std::min<size_t>(failed.failed_hosts.size(),
+                                              options_.poison_after_hosts));
   return true;
 }
 
-void BackendPool::ForgetOldJobs(Time now) {
-  std::erase_if(jobs_, [&](const auto& entry) {
-    return now - entry.second.last > options_.job_memory;
+void BackendPool::EvictFailedRequests(Time now) {
+  std::erase_if(failed_requests_, [&](const auto& entry) {
+    return now - entry.second.last_failed_at >
+           options_.failed_request_retention;
   });
-  // Under a flood of failing jobs the least recent half is dropped, so that
-  // the scan is paid once per half a table.
-  size_t limit = static_cast<size_t>(options_.max_tracked_jobs);
-  if (jobs_.size() < limit)
+  // If too many different requests fail, drops the half that failed least
+  // recently, so that the scan is paid only once per half a table.
+  size_t limit = static_cast<size_t>(options_.max_tracked_requests);
+  if (failed_requests_.size() < limit)
     return;
   std::vector<Time> times;
-  for (const auto& [hash, job] : jobs_)
-    times.push_back(job.last);
+  for (const auto& [hash, failed] : failed_requests_)
+    times.push_back(failed.last_failed_at);
   auto middle = times.begin() + static_cast<ptrdiff_t>(times.size() / 2);
   std::nth_element(times.begin(), middle, times.end());
   Time cut = *middle;
-  std::erase_if(jobs_,
-                [&](const auto& entry) { return entry.second.last <= cut; });
+  std::erase_if(failed_requests_, [&](const auto& entry) {
+    return entry.second.last_failed_at <= cut;
+  });
 }
 
 void BackendPool::ConsiderEjection(Time now, const HostId& id) {
   Host& host = hosts_.at(id);
-  if (host.consecutive_failures >= options_.eject_after_consecutive) {
-    Eject(now, id,
-          host.unreachable ? EjectReason::kUnreachable
-                           : EjectReason::kConsecutiveFailures);
+  if (host.consecutive_failures >= options_.eject_after_consecutive_failures) {
+    EjectHost(now, id,
+              host.unreachable ? EjectReason::kUnreachable
+                               : EjectReason::kConsecutiveFailures);
     return;
   }
   double samples = host.successes + host.failures;
@@ -916,13 +929,13 @@
     Host& other = hosts_.at(other_id);
     if (other.leaving != 0 || other.health != HealthState::kHealthy)
       continue;
-    Decay(now, other);
+    DecayRates(now, other);
     others_failed += other.failures;
     others_total += other.failures + other.successes;
   }
   double pool_rate = others_total > 0 ? others_failed / others_total : 0;
   if (host.failures / samples > pool_rate + options_.eject_rate_margin)
-    Eject(now, id, EjectReason::kFailureRate);
+    EjectHost(now, id, EjectReason::kFailureRate);
 }
 
 int BackendPool::EjectionCap(const PoolId& pool) const {
@@ -938,53 +951,55 @@
                     hosts - 1);
 }
 
-void BackendPool::Eject(Time now, const HostId& id, EjectReason reason) {
+void BackendPool::EjectHost(Time now, const HostId& id, EjectReason reason) {
   Host& host = hosts_.at(id);
-  if (!options_.eject || host.leaving != 0 ||
+  if (!options_.ejection_enabled || host.leaving != 0 ||
       host.health == HealthState::kEjected)
     return;
   if (host.health == HealthState::kHealthy &&
       ejected(host.pool) >= EjectionCap(host.pool)) {
-    ++counters_.ejections_withheld;
+    ++counters_.ejections_withheld_by_cap;
     return;
   }
-  int doublings = std::min(host.back_off, 16);
-  Duration back_off =
-      std::min(options_.eject_max, options_.eject_base * (1 << doublings));
-  // Jitter keeps the hosts of one failure, and the entry processes, apart.
-  back_off = random_.Between(back_off, Scale(back_off, 1.2));
-  ++host.back_off;
+  int doublings = std::min(host.ejections_since_reset, 16);
+  Duration ejection_time =
+      std::min(options_.max_ejection_time,
+               options_.base_ejection_time * (1 << doublings));
+  // Jitter keeps hosts that were ejected together, and the entry processes,
+  // from probing at the same time.
+  ejection_time = random_.Between(ejection_time, Scale(ejection_time, 1.2));
+  ++host.ejections_since_reset;
   host.health = HealthState::kEjected;
-  host.held = false;
+  host.throttled = false;
   host.consecutive_failures = 0;
-  touched_.insert(id);
-  SetWake(id, host, now + back_off);
+  changed_hosts_.insert(id);
+  SetHostTimer(id, host, now + ejection_time);
   RADISHMOOR_INVARIANT("backend.ejection_cap",
                        ejected(host.pool) <= EjectionCap(host.pool));
   ++counters_.ejections;
-  actions_.emplace_back(Ejected{id, reason, back_off});
-  ReleaseExcessHolds(host.pool);
+  actions_.emplace_back(HostEjected{id, reason, ejection_time});
+  ReleaseExcessThrottles(host.pool);
 }
 
-void BackendPool::Restore(Time now, const HostId& id) {
+void BackendPool::RestoreHost(Time now, const HostId& id) {
   Host& host = hosts_.at(id);
   host.health = HealthState::kHealthy;
   host.restored_at = now;
   host.successes = 0;
   host.failures = 0;
   host.consecutive_failures = 0;
-  // Full load at once would bring a server that is still weak down again.
+  // Full load at once would bring down a server that has not fully recovered.
   host.learned_limit = 1;
   host.ramping = true;
-  host.held = false;
-  SetWake(id, host, kTimeMax);
-  touched_.insert(id);
+  host.throttled = false;
+  SetHostTimer(id, host, kTimeMax);
+  changed_hosts_.insert(id);
   ++counters_.restored;
-  actions_.emplace_back(Restored{id});
+  actions_.emplace_back(HostRestored{id});
 }
 
-// Hosts that leave shrink the pool, so the cap may have become lower than the
-// number of ejected hosts.
+// Restores ejected hosts beyond the cap, those with the fewest ejections first.
+// A host that leaves the pool lowers the cap.
 void BackendPool::EnforceEjectionCap(Time now, const PoolId& pool) {
   int excess = ejected(pool) - EjectionCap(pool);
   while (excess-- > 0) {
@@ -994,174 +1009,172 @@
       const Host& host = hosts_.at(id);
       if (host.leaving != 0 || host.health == HealthState::kHealthy)
         continue;
-      if (best == nullptr || host.back_off < least) {
+      if (best == nullptr || host.ejections_since_reset < least) {
         best = &id;
-        least = host.back_off;
+        least = host.ejections_since_reset;
       }
     }
-    Restore(now, HostId(*best));
+    RestoreHost(now, HostId(*best));
   }
-  ReleaseExcessHolds(pool);
+  ReleaseExcessThrottles(pool);
   RADISHMOOR_INVARIANT("backend.ejection_cap",
                        ejected(pool) <= EjectionCap(pool));
 }
 
-void BackendPool::Hold(Time now, const HostId& id, Duration time) {
+void BackendPool::Throttle(Time now, const HostId& id, Duration time) {
   Host& host = hosts_.at(id);
-  if (!options_.eject || time <= Duration(0) || host.leaving != 0 ||
+  if (!options_.ejection_enabled || time <= Duration(0) || host.leaving != 0 ||
       host.health != HealthState::kHealthy)
     return;
-  if (!host.held && HeldBack(host.pool) >= HoldCap(host.pool))
+  if (!host.throttled && UnavailableHosts(host.pool) >= ThrottleCap(host.pool))
     return;
-  host.held = true;
-  SetWake(id, host, now + time);
-  touched_.insert(id);
+  host.throttled = true;
+  SetHostTimer(id, host, now + time);
+  changed_hosts_.insert(id);
 }
 
-// Hosts that health or pacing keeps from taking work freely.
-int BackendPool::HeldBack(const PoolId& pool) const {
+// Returns the number of hosts that are ejected, on probation or throttled.
+int BackendPool::UnavailableHosts(const PoolId& pool) const {
   int count = 0;
   for (const HostId& id : pools_.at(pool).hosts) {
     const Host& host = hosts_.at(id);
     if (host.leaving == 0)
-      count += host.held || host.health != HealthState::kHealthy ? 1 : 0;
+      count += host.throttled || host.health != HealthState::kHealthy ? 1 : 0;
   }
   return count;
 }
 
-int BackendPool::HoldCap(const PoolId& pool) const {
+int BackendPool::ThrottleCap(const PoolId& pool) const {
   int hosts = 0;
   for (const HostId& id : pools_.at(pool).hosts)
     hosts += hosts_.at(id).leaving == 0 ? 1 : 0;
-  return static_cast<int>(hosts * kMaxHeldShare);
+  return static_cast<int>(hosts * kMaxThrottledShare);
 }
 
-void BackendPool::ReleaseExcessHolds(const PoolId& pool) {
-  int excess = HeldBack(pool) - HoldCap(pool);
+void BackendPool::ReleaseExcessThrottles(const PoolId& pool) {
+  int excess = UnavailableHosts(pool) - ThrottleCap(pool);
   for (const HostId& id : pools_.at(pool).hosts) {
     Host& host = hosts_.at(id);
     if (excess <= 0)
       return;
-    if (!host.held || host.leaving != 0)
+    if (!host.throttled || host.leaving != 0)
       continue;
-    host.held = false;
-    SetWake(id, host, kTimeMax);
-    touched_.insert(id);
+    host.throttled = false;
+    SetHostTimer(id, host, kTimeMax);
+    changed_hosts_.insert(id);
     --excess;
   }
 }
 
-void BackendPool::StartCheck(Time now, const HostId& id) {
+void BackendPool::StartHostCheck(Time now, const HostId& id) {
   Host& host = hosts_.at(id);
   if (static_cast<int>(host.connections.size()) >= options_.max_connections) {
-    // All connections are in use by work from before; look again later.
-    SetWake(id, host,
-            now + (host.leaving != 0 ? options_.leaving_recheck
-                                     : options_.eject_base));
+    // All connections are in use by earlier attempts.
+    SetHostTimer(id, host,
+                 now + (host.leaving != 0 ? options_.leaving_probe_interval
+                                          : options_.base_ejection_time));
     return;
   }
-  Open(now, id, std::nullopt, true);
+  RequestConnection(now, id, std::nullopt, true);
 }
 
-void BackendPool::CheckFailed(Time now, const HostId& id) {
+void BackendPool::OnHostCheckFailed(Time now, const HostId& id) {
   Host& host = hosts_.at(id);
   if (host.leaving != 0) {
-    SetWake(id, host, now + options_.leaving_recheck);
+    SetHostTimer(id, host, now + options_.leaving_probe_interval);
     return;
   }
   if (host.health == HealthState::kChecking)
-    Eject(now, id, EjectReason::kUnreachable);
+    EjectHost(now, id, EjectReason::kUnreachable);
 }
 
-void BackendPool::CheckPassed(Time now, const HostId& id) {
+void BackendPool::OnHostCheckPassed(Time now, const HostId& id) {
   ClearLeaving(now, id, LeavingSource::kServer);
   Host& host = hosts_.at(id);
-  touched_.insert(id);
+  changed_hosts_.insert(id);
   if (host.health == HealthState::kHealthy ||
       host.health == HealthState::kProbation)
     return;
-  SetWake(id, host, kTimeMax);
+  SetHostTimer(id, host, kTimeMax);
   host.health = HealthState::kProbation;
-  host.probation_since = now;
+  host.probation_started_at = now;
   host.probation_successes = 0;
 }
 
 void BackendPool::OnHostTimer(Time now, const HostId& id) {
   Host& host = hosts_.at(id);
-  SetWake(id, host, kTimeMax);
-  touched_.insert(id);
+  SetHostTimer(id, host, kTimeMax);
+  changed_hosts_.insert(id);
   if (host.leaving != 0) {
-    // While another source says that it leaves, the server's word is not
-    // needed.
+    // The server is probed only if no other source says that the host is
+    // leaving.
     if (host.leaving == static_cast<uint8_t>(LeavingSource::kServer))
-      StartCheck(now, id);
+      StartHostCheck(now, id);
     else if ((host.leaving & static_cast<uint8_t>(LeavingSource::kServer)) != 0)
-      SetWake(id, host, now + options_.leaving_recheck);
+      SetHostTimer(id, host, now + options_.leaving_probe_interval);
     return;
   }
   if (host.health == HealthState::kEjected) {
     host.health = HealthState::kChecking;
-    StartCheck(now, id);
+    StartHostCheck(now, id);
   } else if (host.health == HealthState::kChecking) {
-    StartCheck(now, id);
+    StartHostCheck(now, id);
   } else {
-    host.held = false;
+    host.throttled = false;
   }
 }
 
-void BackendPool::SetWake(const HostId& id, Host& host, Time at) {
-  if (host.wake != kTimeMax)
-    host_timers_.erase({host.wake, id});
-  host.wake = at;
+void BackendPool::SetHostTimer(const HostId& id, Host& host, Time at) {
+  if (host.wake_at != kTimeMax)
+    host_timers_.erase({host.wake_at, id});
+  host.wake_at = at;
   if (at != kTimeMax)
     host_timers_.insert({at, id});
 }
 
-// ---- Timers and results -----------------------------------------------------
-
 BackendActions BackendPool::Tick(Time now) {
   while (!connection_timers_.empty() &&
          connection_timers_.begin()->first <= now) {
     ConnectionId id = connection_timers_.begin()->second;
-    SetTimer(id, connections_.at(id), kTimeMax);
+    SetConnectionTimer(id, connections_.at(id), kTimeMax);
     OnConnectionTimer(now, id);
   }
   while (!host_timers_.empty() && host_timers_.begin()->first <= now) {
     HostId id = host_timers_.begin()->second;
     OnHostTimer(now, id);
   }
-  return Take();
+  return TakeActions();
 }
 
 Time BackendPool::next_wake() const {
-  Time wake = kTimeMax;
+  Time wake_at = kTimeMax;
   if (!connection_timers_.empty())
-    wake = connection_timers_.begin()->first;
+    wake_at = connection_timers_.begin()->first;
   if (!host_timers_.empty())
-    wake = std::min(wake, host_timers_.begin()->first);
-  return wake;
+    wake_at = std::min(wake_at, host_timers_.begin()->first);
+  return wake_at;
 }
 
-void BackendPool::TellTarget(const HostId& id) {
+void BackendPool::ReportTarget(const HostId& id) {
   Host* host = Find(id);
   if (host == nullptr)
     return;
   bool usable = Usable(*host);
   int limit = Limit(*host);
   int ceiling = Ceiling(*host);
-  if (usable == host->told_usable && limit == host->told_limit &&
-      ceiling == host->told_ceiling)
+  if (usable == host->reported_usable && limit == host->reported_limit &&
+      ceiling == host->reported_ceiling)
     return;
-  host->told_usable = usable;
-  host->told_limit = limit;
-  host->told_ceiling = ceiling;
+  host->reported_usable = usable;
+  host->reported_limit = limit;
+  host->reported_ceiling = ceiling;
   actions_.emplace_back(TargetChanged{id, usable, limit, ceiling});
 }
 
-BackendActions BackendPool::Take() {
-  for (const HostId& id : touched_)
-    TellTarget(id);
-  touched_.clear();
+BackendActions BackendPool::TakeActions() {
+  for (const HostId& id : changed_hosts_)
+    ReportTarget(id);
+  changed_hosts_.clear();
   return std::exchange(actions_, {});
 }
 
--- a/radishmoor/backend/backend_pool.h
+++ b/radishmoor/backend/backend_pool.h
@@ -1,24 +1,37 @@
-// Connections and health of every backend server host, as one entry process
-// sees them. Sans-I/O: the caller reports results and carries out the actions.
+// Connections to the backend servers and health of their hosts, as one entry
+// process sees them. Performs no I/O: the caller carries out the returned
+// actions and reports their results.
 //
 //   BackendPool pool(options, seed);
 //   pool.SetHost(now, {.host = host, .pool = tomato_desk});
 //   for (const BackendAction& action : pool.Acquire(now, {host, request, ...}))
 //
-// An attempt goes through these steps:
+// An attempt sends one request to one host. It begins with Acquire(), which
+// leads to one of:
 //
-//   Acquire -> StartExchange at once on an idle connection, or
-//              OpenConnection, then OnConnectionOpened -> StartExchange, or
-//              AcquireFailed (nothing was written).
-//   StartExchange -> OnExchangeFinished | OnConnectionClosed | OnTimeout |
-//   Abandon.
+//   StartExchange                    an idle connection is reused
+//   OpenConnection                   OnConnectionOpened() then leads to
+//                                    StartExchange
+//   AcquireFailed                    nothing was written to the server
 //
-// While an exchange runs, AttemptSuspect may say that its connection is
-// probably silent. The caller may then retry idempotent work on another
-// connection; the exchange itself goes on until the caller ends it.
+// After StartExchange the attempt ends with OnExchangeFinished(),
+// OnConnectionClosed(), OnTimeout() or Abandon().
 //
-// A request has at most one attempt on one host at a time; attempts of the same
+// A connection is silent if it is open but passes no bytes, for example because
+// a device on the path has lost its state. While an exchange runs, an
+// AttemptSuspect action reports that its connection is probably silent. The
+// caller may then retry idempotent work on another connection; the exchange
+// itself goes on until the caller ends it.
+//
+// A request has at most one attempt on one host at a time. Attempts of the same
 // request on different hosts are independent.
+//
+// A host is ejected (takes no requests for its ejection time) when it fails too
+// often, cannot be reached or belongs to another pool. Afterwards a probe on a
+// new connection decides whether it goes on probation (one request at a time),
+// from which successes restore it. A host is throttled (takes no requests for
+// up to 16 typical run times) after a failure, a wrong-pool answer, or a
+// not-run answer at a limit of 1.
 
 #ifndef RADISHMOOR_BACKEND_BACKEND_POOL_H_
 #define RADISHMOOR_BACKEND_BACKEND_POOL_H_
@@ -39,55 +52,71 @@
 
 namespace radishmoor {
 
-// Identifies the content of a request, so that a job which fails on several
-// servers is recognised when it comes back. 0 means unknown.
+// Hash of a request's content, by which a request that fails on several servers
+// is recognised when its caller sends it again. 0 if unknown.
 using RequestContentHash = uint64_t;
 
 struct BackendOptions {
-  // Connections to one host: this process's share of the host's 64.
+  // Connections to one host: the share of this entry process in the 64
+  // connections that a host accepts.
   int max_connections = 7;
   int max_idle_per_host = 7;
   int max_idle_total = 4096;
   Duration idle_expiry = Seconds(10);
   Duration open_timeout = Milliseconds(250);
 
-  // Detection of silent connections. With `detect_silent` false only the
-  // connection that timed out is closed; it exists for measurements.
+  // If false, a time-out closes only the connection on which it occurred and no
+  // other connection is probed. Used by measurements for comparison.
   bool detect_silent = true;
   Duration probe_timeout = Milliseconds(50);
-  // A connection without a sign of life for this long is probed before it
-  // takes a non-idempotent request, because that request cannot be retried.
-  Duration verify_after = Milliseconds(250);
-  // Bounds of the time-out of one attempt. The upper bound is also limited to a
-  // third of the time left until the deadline, so that two more attempts fit.
+  // An idle connection that has received nothing for this long is replaced by a
+  // new one for a non-idempotent request, because that request cannot be
+  // retried if the connection is silent.
+  Duration verify_idle_after = Milliseconds(250);
+  // Bounds of the time-out of one attempt, after which it is suspect. The
+  // time-out is usually also at most a third of the time left until the
+  // deadline, so that two more attempts fit.
   Duration min_attempt_timeout = Milliseconds(40);
   Duration max_attempt_timeout = Seconds(5);
-  double attempt_timeout_factor = 3.0;  // Times the 95th percentile.
+  // The time-out is this multiple of the 95th percentile of the pool's run
+  // times.
+  double attempt_timeout_factor = 3.0;
 
-  // With `learn_limit` false `max_connections` is the only limit.
+  // If true, the number of requests in flight on a host is limited by its
+  // not-run answers; otherwise only by `max_connections`.
   bool learn_limit = true;
 
-  // Health. With `eject` false no host is ever held back.
-  bool eject = true;
-  int eject_after_consecutive = 5;
-  double eject_rate_margin = 0.3;  // Above the rate of the pool's other hosts.
+  // If false, no host is ejected or throttled.
+  bool ejection_enabled = true;
+  // Failures in a row after which a host is ejected.
+  int eject_after_consecutive_failures = 5;
+  // A host is ejected if its failure rate exceeds that of the pool's other
+  // hosts by this much, once it has `eject_rate_min_samples` exchanges within
+  // `rate_window`.
+  double eject_rate_margin = 0.3;
   int eject_rate_min_samples = 20;
   Duration rate_window = Seconds(10);
+  // At most this share of a pool's hosts is ejected, but always at least one
+  // host of a pool with two or more.
   double max_ejected_share = 0.3;
-  Duration eject_base = Seconds(1);
-  Duration eject_max = Seconds(60);
+  Duration base_ejection_time = Seconds(1);
+  Duration max_ejection_time = Seconds(60);
+  // Successes on probation after which a host is restored.
   int restore_after_successes = 3;
-  // A host that stays healthy this long starts again at `eject_base`.
-  Duration forgive_after = Seconds(60);
-  // A job that failed on this many different hosts is at fault itself.
-  bool charge_jobs = true;
-  int job_fails_on_hosts = 2;
-  int max_tracked_jobs = 1024;
-  Duration job_memory = Seconds(60);
-
-  // A host that announced in an answer that it is leaving is asked again after
-  // this time, by a probe.
-  Duration leaving_recheck = Seconds(30);
+  // The ejection time doubles with each ejection. A host that stays healthy for
+  // this long starts again at `base_ejection_time`.
+  Duration reset_ejections_after = Seconds(60);
+  // A poison request is one that fails because of its content. With detection,
+  // a request that failed on `poison_after_hosts` different hosts is taken for
+  // one, and its failures do not count against the hosts.
+  bool detect_poison_requests = true;
+  int poison_after_hosts = 2;
+  int max_tracked_requests = 1024;
+  Duration failed_request_retention = Seconds(60);
+
+  // A host that announced in an answer that it is leaving is probed this often,
+  // to find out whether it still is.
+  Duration leaving_probe_interval = Seconds(30);
 };
 
 struct BackendHost {
@@ -103,7 +132,7 @@
 struct AcquireRequest {
   HostId host;
   RequestId request;
-  RequestContentHash job = 0;
+  RequestContentHash request_hash = 0;
   bool idempotent = true;
   Time deadline = kTimeMax;
 };
@@ -112,13 +141,13 @@
   kSuccess,
   // The server answered, but the work failed (5xx).
   kFailure,
-  // 503 with `Radishmoor-Run: not-run`: the server is full.
+  // The server is full: status 503 with `Radishmoor-Run: not-run`.
   kNotRunFull,
-  // 421: the server belongs to another pool.
+  // The server belongs to another pool: status 421.
   kWrongPool,
 };
 
-struct Exchange {
+struct FinishedExchange {
   ConnectionId connection;
   ExchangeResult result = ExchangeResult::kSuccess;
   // The connection may carry another exchange (complete answer, keep-alive).
@@ -130,7 +159,8 @@
 enum class AcquireError : uint8_t {
   kUnknownHost,
   kLeaving,
-  kHeldBack,      // Ejected, on probation with a request, or paced.
+  // The host is ejected, throttled, or on probation with a request in flight.
+  kHostUnavailable,
   kNoConnection,  // All connections to the host are in use.
   kOpenFailed,
   kOpenTimedOut,
@@ -148,28 +178,30 @@
   kConfiguration = 1,
   kHostList = 2,
   kServer = 4,
-  kPeer = 8,  // Another entry process was told by the server.
+  kPeer = 8,  // The server told another entry process.
 };
 
-// Open a connection and report OnConnectionOpened or OnConnectionOpenFailed.
+// Opens a connection. Answered by OnConnectionOpened() or
+// OnConnectionOpenFailed().
 struct OpenConnection {
   HostId host;
   ConnectionId connection;
 };
-// Write the request. `suspect_at` is the time-out of the attempt.
+// Writes the request. The attempt becomes suspect at `suspect_at`, or earlier
+// if another connection to the host proves silent meanwhile.
 struct StartExchange {
   HostId host;
   ConnectionId connection;
   RequestId request;
   Time suspect_at;
 };
-// The attempt ended before anything was written.
+// The attempt ended before anything was written to the server.
 struct AcquireFailed {
   HostId host;
   RequestId request;
   AcquireError error;
 };
-// Send a request that does no work and report OnProbeAnswered.
+// Sends a request that does no work. Answered by OnProbeAnswered().
 struct ProbeConnection {
   HostId host;
   ConnectionId connection;
@@ -184,29 +216,29 @@
   ConnectionId connection;
   RequestId request;
 };
-// `limit` is learned from not-run answers. `ceiling` holds whatever else allows
-// more: 1 on probation, rising after it, otherwise the number of connections.
+// The values of usable(), limit() and ceiling() of the host have changed.
 struct TargetChanged {
   HostId host;
   bool usable;
   int limit;
   int ceiling;
 };
-struct Ejected {
+struct HostEjected {
   HostId host;
   EjectReason reason;
-  Duration back_off;
+  Duration ejection_time;
 };
-struct Restored {
+struct HostRestored {
   HostId host;
 };
-struct Leaving {
+struct HostLeaving {
   HostId host;
   LeavingSource source;
 };
-// The job failed on several different hosts; retrying it is pointless.
-struct JobCharged {
-  RequestContentHash job;
+// A request with this content failed on several different hosts; retrying it is
+// pointless.
+struct PoisonRequestDetected {
+  RequestContentHash request_hash;
 };
 
 using BackendAction = std::variant<OpenConnection,
@@ -216,22 +248,23 @@
                                    CloseConnection,
                                    AttemptSuspect,
                                    TargetChanged,
-                                   Ejected,
-                                   Restored,
-                                   Leaving,
-                                   JobCharged>;
+                                   HostEjected,
+                                   HostRestored,
+                                   HostLeaving,
+                                   PoisonRequestDetected>;
 using BackendActions = std::vector<BackendAction>;
 
 struct BackendCounters {
   uint64_t open_failures = 0;
   uint64_t probes = 0;
   uint64_t probe_timeouts = 0;
+  // Times at which one silent connection made all others of its host suspect.
   uint64_t suspicions = 0;
-  uint64_t attempt_timeouts = 0;
+  uint64_t attempt_timeouts = 0;  // AttemptSuspect actions.
   uint64_t ejections = 0;
-  uint64_t ejections_withheld = 0;
+  uint64_t ejections_withheld_by_cap = 0;
   uint64_t restored = 0;
-  uint64_t jobs_charged = 0;
+  uint64_t poison_requests = 0;
 };
 
 class BackendPool {
@@ -240,46 +273,59 @@
 
   // Adds a host or changes its configuration.
   BackendActions SetHost(Time now, const BackendHost& host);
-  // The host takes no new work; it is forgotten with its last exchange.
+  // Stops new work on the host and removes it when its last connection is
+  // closed.
   BackendActions RemoveHost(Time now, const HostId& host);
-  // What the platform's host list says; it may lag.
+  // Reports whether the platform's host list, which may lag, shows the host as
+  // leaving.
   BackendActions SetHostListLeaving(Time now, const HostId& host, bool leaving);
-  // What another entry process passed on.
+  // Reports whether another entry process says that the host is leaving.
   BackendActions SetPeerLeaving(Time now, const HostId& host, bool leaving);
 
   BackendActions Acquire(Time now, const AcquireRequest& request);
 
   BackendActions OnConnectionOpened(Time now, ConnectionId connection);
   BackendActions OnConnectionOpenFailed(Time now, ConnectionId connection);
-  BackendActions OnExchangeFinished(Time now, const Exchange& exchange);
+  BackendActions OnExchangeFinished(Time now, const FinishedExchange& exchange);
   BackendActions OnProbeAnswered(Time now,
                                  ConnectionId connection,
                                  bool leaving);
-  // Closed by the peer or by an error. An exchange on it has failed.
+  // The connection was closed by the server or by an error. The exchange on it,
+  // if any, has failed.
   BackendActions OnConnectionClosed(Time now, ConnectionId connection);
-  // The request's deadline passed without an answer.
+  // The deadline of the request on this connection passed without an answer.
   BackendActions OnTimeout(Time now, ConnectionId connection);
-  // The caller no longer wants the answer (cancelled, or answered elsewhere).
-  // Says nothing about the host.
+  // Ends the attempt because its answer is no longer wanted: the request was
+  // cancelled or answered by another host. Does not affect the host's health,
+  // unless the attempt was suspect.
   BackendActions Abandon(Time now, const HostId& host, RequestId request);
 
+  // Carries out what is due at `now`.
   BackendActions Tick(Time now);
-  // kTimeMax when nothing is scheduled.
+  // Returns the time at which Tick() is due, or kTimeMax if nothing is
+  // scheduled.
   Time next_wake() const;
 
-  // False for unknown hosts.
+  // Returns whether the host takes new requests. False for unknown hosts.
   bool usable(const HostId& host) const;
+  // Returns whether any source, or the given one, says that the host is
+  // leaving. False for unknown hosts.
   bool leaving(const HostId& host) const;
-  // Whether this source says so.
   bool leaving(const HostId& host, LeavingSource source) const;
-  // Requests that this process may have in flight on the host.
+  // Returns the number of requests that this process may have in flight on the
+  // host, as learned from its not-run answers: at least 1, at most
+  // `max_connections`. 0 for unknown hosts.
   int limit(const HostId& host) const;
-  // Upper bound also for requests that a slot share allows beyond `limit`.
+  // Returns the upper bound of requests in flight for a process whose slot
+  // share allows more than limit(): 1 on probation, limit() while a restored
+  // host ramps up, otherwise `max_connections`. 0 for unknown hosts.
   int ceiling(const HostId& host) const;
-  // Attempts between Acquire and their end.
+  // Returns the number of attempts between Acquire() and their end.
   int in_flight(const HostId& host) const;
-  // Connections to the host that are open or being opened.
+  // Returns the number of connections that are open or being opened.
   int connections(const HostId& host) const;
+  // Returns the number of hosts of the pool that are ejected, being checked or
+  // on probation, without those that are leaving.
   int ejected(const PoolId& pool) const;
 
   const BackendCounters& counters() const { return counters_; }
@@ -289,25 +335,29 @@
   enum class HealthState : uint8_t {
     kHealthy,
     kEjected,
-    kChecking,  // The back-off is over; a probe on a new connection decides.
-    kProbation,
+    kChecking,   // The ejection time is over; a probe on a new connection runs.
+    kProbation,  // The probe was answered; one request at a time is allowed.
   };
 
   struct Connection {
     HostId host;
     ConnectionState state = ConnectionState::kOpening;
-    Time opened = kTimeZero;
-    Time last_alive = kTimeZero;  // Last bytes from the server, or opening.
-    bool suspect = false;
-    bool check = false;  // Opened to check an ejected or leaving host.
+    Time opened_at = kTimeZero;
+    // When the server last sent bytes or the connection was opened.
+    Time last_received_at = kTimeZero;
+    bool suspect = false;  // Probably silent.
+    // Opened to probe an ejected or leaving host, not for an attempt.
+    bool for_host_check = false;
     // The attempt that waits for this connection or runs on it.
     std::optional<AcquireRequest> attempt;
-    Time started = kTimeZero;
+    // When the opening, the exchange or the probe in progress began.
+    Time started_at = kTimeZero;
     Time idle_since = kTimeZero;
     Time suspect_at = kTimeMax;
-    bool reported = false;     // AttemptSuspect was emitted.
-    bool early_probe = false;  // Siblings were probed for this exchange.
-    Time timer = kTimeMax;
+    bool suspect_reported = false;  // AttemptSuspect was emitted.
+    // A sibling was probed, or suspected, because of this exchange.
+    bool early_probe_done = false;
+    Time timer_at = kTimeMax;
   };
 
   struct Host {
@@ -321,40 +371,43 @@
     HealthState health = HealthState::kHealthy;
     int consecutive_failures = 0;
     bool unreachable = false;  // The last failure was to open a connection.
-    double successes = 0;      // Decayed over `rate_window`.
+    // Exchanges by result, decayed exponentially over `rate_window`.
+    double successes = 0;
     double failures = 0;
-    Time decayed_at = kTimeZero;
+    Time rates_decayed_at = kTimeZero;
     int probation_successes = 0;
-    int back_off = 0;  // Ejections since the host was last forgiven.
+    int ejections_since_reset = 0;
     Time restored_at = kTimeZero;
-    bool held = false;  // Paced after fast failures or not-run answers.
-    Time probation_since = kTimeZero;
-    Time last_answer = kTimeZero;  // To an exchange, not to a probe.
+    bool throttled = false;  // After failures or not-run answers.
+    Time probation_started_at = kTimeZero;
+    Time last_answer_at = kTimeZero;  // To an exchange, not to a probe.
     int consecutive_not_run = 0;
 
     double learned_limit = 0;
-    Time limit_lowered = kTimeZero;
-    bool ramping = false;  // Restored, and not yet known to take full load.
-
-    Time wake = kTimeMax;
-    bool told_usable = false;
-    int told_limit = -1;
-    int told_ceiling = -1;
+    Time limit_lowered_at = kTimeZero;
+    // Restored, and not yet known to take full load.
+    bool ramping = false;
+
+    Time wake_at = kTimeMax;
+    bool reported_usable = false;
+    int reported_limit = -1;
+    int reported_ceiling = -1;
   };
 
-  // Attempt time-outs use the 95th percentile, which needs more samples than a
-  // median to be steady.
-  static constexpr uint32_t kRunTimesFadeAt = 4096;
+  // Number of samples after which older run times fade. Attempt time-outs use
+  // the 95th percentile, which needs more samples than a median to be steady.
+  static constexpr uint32_t kRunTimeFadeSamples = 4096;
 
   struct Pool {
     std::set<HostId> hosts;
-    RunTimes run_times{kRunTimesFadeAt};  // Of successful exchanges.
+    // Durations of successful exchanges.
+    RunTimes run_times{kRunTimeFadeSamples};
   };
 
-  struct Job {
-    std::vector<HostId> failed_on;
-    Time last = kTimeZero;
-    bool charged = false;
+  struct FailedRequest {
+    std::vector<HostId> failed_hosts;
+    Time last_failed_at = kTimeZero;
+    bool is_poison = false;
   };
 
   Host* Find(const HostId& host);
@@ -364,62 +417,64 @@
   int Limit(const Host& host) const;
   int Ceiling(const Host& host) const;
 
-  // Connections.
-  void Open(Time now,
-            const HostId& id,
-            std::optional<AcquireRequest> attempt,
-            bool check);
-  void Start(Time now, ConnectionId id, Connection& connection);
-  void Probe(Time now, ConnectionId id, Connection& connection);
+  void RequestConnection(Time now,
+                         const HostId& id,
+                         std::optional<AcquireRequest> attempt,
+                         bool for_host_check);
+  void StartAttempt(Time now, ConnectionId id, Connection& connection);
+  void SendProbe(Time now, ConnectionId id, Connection& connection);
   void MakeIdle(Time now, ConnectionId id, Connection& connection);
-  void Remove(ConnectionId id, bool close);
+  void RemoveConnection(ConnectionId id, bool close);
   void CloseIdle(Host& host);
-  void FailOpen(Time now, ConnectionId id, AcquireError error, bool close);
-  void EndUnanswered(Time now, ConnectionId id);
+  void FailConnectionOpen(Time now,
+                          ConnectionId id,
+                          AcquireError error,
+                          bool close);
+  void EndUnansweredExchange(Time now, ConnectionId id);
   void ResetHost(Time now, const HostId& id, Host& host);
   void FailAttempt(const AcquireRequest& attempt, AcquireError error);
   void EndAttempt(Connection& connection);
-  void SuspectOthers(Time now, const HostId& id, ConnectionId cause);
+  void SuspectOtherConnections(Time now, const HostId& id, ConnectionId cause);
   void OnConnectionTimer(Time now, ConnectionId id);
   void OnProbeTimeout(Time now, ConnectionId id);
   void ReportSuspect(ConnectionId id, Connection& connection);
   Duration AttemptTimeout(Time now, const AcquireRequest& attempt) const;
   Duration EarlyProbeAfter(const PoolId& pool) const;
   Duration TypicalRunTime(const PoolId& pool) const;
-  void SetTimer(ConnectionId id, Connection& connection, Time at);
+  void SetConnectionTimer(ConnectionId id, Connection& connection, Time at);
 
-  // Health.
-  void Decay(Time now, Host& host);
+  void DecayRates(Time now, Host& host);
   void RecordSuccess(Time now,
                      const HostId& id,
-                     RequestContentHash job,
-                     Time started,
+                     RequestContentHash request_hash,
+                     Time started_at,
                      bool at_limit);
   void RecordFailure(Time now,
                      const HostId& id,
-                     RequestContentHash job,
+                     RequestContentHash request_hash,
                      bool unreachable,
-                     Time started);
-  void RecordNotRun(Time now, const HostId& id, Time started);
-  bool ChargeToJob(Time now, const HostId& id, RequestContentHash job);
-  void ForgetOldJobs(Time now);
+                     Time started_at);
+  void RecordNotRun(Time now, const HostId& id, Time started_at);
+  bool RecordRequestFailure(Time now,
+                            const HostId& id,
+                            RequestContentHash request_hash);
+  void EvictFailedRequests(Time now);
   void ConsiderEjection(Time now, const HostId& id);
-  void Eject(Time now, const HostId& id, EjectReason reason);
-  void Restore(Time now, const HostId& id);
-  void Hold(Time now, const HostId& id, Duration time);
-  int HeldBack(const PoolId& pool) const;
-  int HoldCap(const PoolId& pool) const;
-  void ReleaseExcessHolds(const PoolId& pool);
+  void EjectHost(Time now, const HostId& id, EjectReason reason);
+  void RestoreHost(Time now, const HostId& id);
+  void Throttle(Time now, const HostId& id, Duration time);
+  int UnavailableHosts(const PoolId& pool) const;
+  int ThrottleCap(const PoolId& pool) const;
+  void ReleaseExcessThrottles(const PoolId& pool);
   int EjectionCap(const PoolId& pool) const;
   void EnforceEjectionCap(Time now, const PoolId& pool);
-  void StartCheck(Time now, const HostId& id);
-  void CheckFailed(Time now, const HostId& id);
-  void CheckPassed(Time now, const HostId& id);
+  void StartHostCheck(Time now, const HostId& id);
+  void OnHostCheckFailed(Time now, const HostId& id);
+  void OnHostCheckPassed(Time now, const HostId& id);
   void OnHostTimer(Time now, const HostId& id);
-  void SetWake(const HostId& id, Host& host, Time at);
+  void SetHostTimer(const HostId& id, Host& host, Time at);
   void RaiseLimit(Host& host);
 
-  // Leaving.
   BackendActions ReportLeaving(Time now,
                                const HostId& id,
                                LeavingSource source,
@@ -428,8 +483,8 @@
   void ClearLeaving(Time now, const HostId& id, LeavingSource source);
   void ForgetIfUnused(const HostId& id);
 
-  void TellTarget(const HostId& id);
-  BackendActions Take();
+  void ReportTarget(const HostId& id);
+  BackendActions TakeActions();
 
   BackendOptions options_;
   Random random_;
@@ -437,12 +492,13 @@
   std::map<HostId, Host> hosts_;
   std::map<PoolId, Pool> pools_;
   std::map<ConnectionId, Connection> connections_;
-  std::map<RequestContentHash, Job> jobs_;
+  std::map<RequestContentHash, FailedRequest> failed_requests_;
   std::set<std::pair<Time, ConnectionId>> idle_order_;
   std::set<std::pair<Time, ConnectionId>> connection_timers_;
   std::set<std::pair<Time, HostId>> host_timers_;
   BackendActions actions_;
-  std::set<HostId> touched_;  // Hosts whose target state may have changed.
+  // Hosts for which TargetChanged may be due.
+  std::set<HostId> changed_hosts_;
   BackendCounters counters_;
 };
 
--- a/radishmoor/backend/testing/backend_bench.cc
+++ b/radishmoor/backend/testing/backend_bench.cc
@@ -1,6 +1,7 @@
-// Measures, in virtual time, how many requests miss their deadline when all
-// connections to one of ten hosts go silent at once, with the detection off and
-// on. Prints medians and ranges over the seeds.
+// Measures in virtual time how many requests miss their deadline when all
+// connections to one of ten hosts become silent at once, with the detection of
+// silent connections off and on. Prints medians and ranges over 11 seeds,
+// scaled to 64 silent connections.
 //
 //   backend_bench [--json]
 
@@ -15,7 +16,7 @@
 
 constexpr int kSeeds = 11;
 
-struct Figures {
+struct Samples {
   std::vector<double> values;
   double at(size_t index) {
     std::sort(values.begin(), values.end());
@@ -23,24 +24,26 @@
   }
 };
 
-void Measure(int processes, double idempotent, bool detect, bool json) {
-  Figures missed;
-  Figures sent_after;
-  Figures outstanding;
-  Figures retries;
+void Measure(int processes, double idempotent, bool detection, bool json) {
+  Samples missed_deadlines;
+  Samples sent_after_silence;
+  Samples in_flight_when_silent;
+  Samples retries;
   for (int seed = 1; seed <= kSeeds; ++seed) {
-    SimOptions options;
+    BackendSimOptions options;
     options.processes = processes;
     options.backend.max_connections = processes == 1 ? 64 : 7;
     options.backend.max_idle_per_host = options.backend.max_connections;
-    options.backend.detect_silent = detect;
+    options.backend.detect_silent = detection;
     options.idempotent_share = idempotent;
     options.seed = static_cast<uint64_t>(seed);
-    SimResult result = BackendSim(options).Run();
+    BackendSimResult result = BackendSim(options).Run();
     double per_64 = 64.0 / std::max(1, result.silent_connections);
-    missed.values.push_back(result.missed * per_64);
-    sent_after.values.push_back(result.missed_sent_after * per_64);
-    outstanding.values.push_back(result.outstanding * per_64);
+    missed_deadlines.values.push_back(result.missed_deadlines * per_64);
+    sent_after_silence.values.push_back(result.missed_sent_after_silence *
+                                        per_64);
+    in_flight_when_silent.values.push_back(result.in_flight_when_silent *
+                                           per_64);
     retries.values.push_back(100.0 * result.retries / result.requests);
   }
   const char* format =
@@ -51,10 +54,11 @@
            : "processes %d  idempotent %.1f  detect %d  missed per 64: %.1f "
              "(%.1f-%.1f), sent after the event %.1f, outstanding at the event "
              "%.1f, retries %.2f%%\n";
-  std::printf(format, processes, idempotent, detect ? 1 : 0,
-              missed.at(kSeeds / 2), missed.at(0), missed.at(kSeeds - 1),
-              sent_after.at(kSeeds / 2), outstanding.at(kSeeds / 2),
-              retries.at(kSeeds / 2));
+  std::printf(format, processes, idempotent, detection ? 1 : 0,
+              missed_deadlines.at(kSeeds / 2), missed_deadlines.at(0),
+              missed_deadlines.at(kSeeds - 1),
+              sent_after_silence.at(kSeeds / 2),
+              in_flight_when_silent.at(kSeeds / 2), retries.at(kSeeds / 2));
 }
 
 }  // namespace
@@ -64,8 +68,8 @@
   bool json = argc > 1 && std::strcmp(argv[1], "--json") == 0;
   for (int processes : {1, 9}) {
     for (double idempotent : {1.0, 0.5, 0.0}) {
-      for (bool detect : {false, true})
-        radishmoor::Measure(processes, idempotent, detect, json);
+      for (bool detection : {false, true})
+        radishmoor::Measure(processes, idempotent, detection, json);
     }
   }
   return 0;
--- a/radishmoor/entry/entry_core.cc
+++ b/radishmoor/entry/entry_core.cc
@@ -11,25 +11,27 @@
 namespace radishmoor {
 namespace {
 
-// The permission to send to other zones ends with time, not with an event, so
-// targets are compared with it this often. The check before each send is exact.
-// Slot demand is refreshed with it.
-constexpr Duration kRefreshPeriod = Milliseconds(200);
+// The permission to send to hosts of other zones expires without an event, so
+// the targets are compared with it at this interval; slot demand and membership
+// are refreshed at the same time. The check before each send is exact.
+constexpr Duration kTargetRefreshPeriod = Milliseconds(200);
 
-// Notices of leaving hosts are repeated, and hold for three periods.
-constexpr Duration kNoticePeriod = Seconds(1);
-constexpr Duration kNoticeTerm = Seconds(3);
+// A notice of leaving hosts is repeated once per period, and valid for three
+// periods so that a lost notice has no effect.
+constexpr Duration kLeavingNoticePeriod = Seconds(1);
+constexpr Duration kLeavingNoticeValidity = Seconds(3);
 
 // Requests that this process may have in flight on a host of another zone. Such
-// hosts only take what the own zone cannot.
-constexpr int kOtherZoneLimit = 1;
+// hosts take only the load that the zone of this process cannot.
+constexpr int kOtherZoneHostLimit = 1;
 
-// Store calls of all slices share one tag space: the low bits name the slice.
+// Store calls of all components share one tag space. The remainder modulo
+// kCallOwnerCount tells which component made the call.
 enum class CallOwner : uint64_t { kConfig, kMember, kPeers, kClaims };
-constexpr uint64_t kOwners = 4;
+constexpr uint64_t kCallOwnerCount = 4;
 
-StoreCall Own(CallOwner owner, StoreCall call) {
-  call.tag = call.tag * kOwners + static_cast<uint64_t>(owner);
+StoreCall TagWithOwner(CallOwner owner, StoreCall call) {
+  call.tag = call.tag * kCallOwnerCount + static_cast<uint64_t>(owner);
   return call;
 }
 
@@ -44,7 +46,7 @@
           .seed = options.seed};
 }
 
-ExchangeResult ResultOf(const BackendAnswer& answer) {
+ExchangeResult ExchangeResultOf(const BackendAnswer& answer) {
   if (answer.status == 421)
     return ExchangeResult::kWrongPool;
   if (answer.not_run)
@@ -67,7 +69,7 @@
   return dispatch::AttemptOutcome::kErrorAnswer;
 }
 
-unsigned StatusOf(const dispatch::Finish& finish) {
+unsigned HttpStatusOf(const dispatch::Finish& finish) {
   switch (finish.reason) {
     case dispatch::Reason::kUnknownService:
       return 404;
@@ -81,7 +83,7 @@
   }
 }
 
-EventKind EventOf(dispatch::Outcome outcome) {
+EventKind EventKindOf(dispatch::Outcome outcome) {
   switch (outcome) {
     case dispatch::Outcome::kCompleted:
       return EventKind::kRequestCompleted;
@@ -105,10 +107,10 @@
 
 EntryCore::EntryCore(EntryOptions options)
     : options_(std::move(options)),
-      view_({.self = options_.member,
-             .zone = options_.zone,
-             .incarnation = options_.incarnation,
-             .seed = options_.seed}),
+      config_view_({.self = options_.member,
+                    .zone = options_.zone,
+                    .incarnation = options_.incarnation,
+                    .seed = options_.seed}),
       member_(MemberOptionsOf(options_)),
       peers_({.self = options_.member,
               .role = MemberRole::kEntry,
@@ -118,50 +120,49 @@
       claims_({.seed = options_.seed + 2}),
       backend_(options_.backend, options_.seed + 3),
       dispatcher_(options_.dispatch),
-      holder_(options_.slots,
-              options_.member,
-              options_.zone,
-              options_.incarnation),
-      allocator_(options_.slots,
-                 options_.member,
-                 options_.zone,
-                 options_.incarnation) {}
-
-void EntryCore::Enter(Time now, WallMillis wall) {
+      slot_holder_(options_.slots,
+                   options_.member,
+                   options_.zone,
+                   options_.incarnation),
+      slot_allocator_(options_.slots,
+                      options_.member,
+                      options_.zone,
+                      options_.incarnation) {}
+
+void EntryCore::BeginCall(Time now, WallMillis wall) {
   now_ = std::max(now_, now);
   wall_ = wall;
   actions_.clear();
 }
 
-EntryActions EntryCore::Exit() {
-  // ready() follows the permission at once, so the targets must as well.
-  if (view_.MaySend(now_) != may_send_) {
-    may_send_ = !may_send_;
+EntryActions EntryCore::EndCall() {
+  // ready() follows the permission to send immediately, so the targets must be
+  // refreshed immediately too.
+  if (config_view_.MaySend(now_) != targets_may_send_) {
+    targets_may_send_ = !targets_may_send_;
     RefreshTargets();
   }
-  RunDispatch();
+  RunDispatcher();
   return std::exchange(actions_, {});
 }
 
-// Callers.
-
 EntryActions EntryCore::Request(Time now,
                                 WallMillis wall,
                                 const CallerRequest& request) {
-  Enter(now, wall);
+  BeginCall(now, wall);
   ++counters_.requests;
   if (draining_) {
     Refuse(request.id, 503, "shutting-down", false, Seconds(1));
-    return Exit();
+    return EndCall();
   }
-  if (!view_.ready()) {
+  if (!config_view_.ready()) {
     Refuse(request.id, 503, "no-configuration", false, Seconds(1));
-    return Exit();
+    return EndCall();
   }
-  const PoolState* pool = view_.state().FindPool(request.service);
+  const PoolState* pool = config_view_.state().FindPool(request.service);
   if (pool == nullptr) {
     Refuse(request.id, 404, "unknown-service", false, Duration::zero());
-    return Exit();
+    return EndCall();
   }
   LiveRequest live;
   live.pool = request.service;
@@ -173,37 +174,37 @@
                               ? request.deadline
                               : Milliseconds(pool->default_deadline_ms));
   if (request.idempotent) {
-    Arrive(request.id, std::move(live));
-    return Exit();
+    SubmitRequest(request.id, std::move(live));
+    return EndCall();
   }
   Time deadline = live.deadline;
-  held_.emplace(request.id, std::move(live));
-  Run(claims_.Begin(now_, wall_,
-                    {request.id, request.key, request.body_hash, deadline}));
-  return Exit();
+  awaiting_claim_.emplace(request.id, std::move(live));
+  HandleActions(claims_.Begin(
+      now_, wall_, {request.id, request.key, request.body_hash, deadline}));
+  return EndCall();
 }
 
-void EntryCore::Arrive(RequestId id, LiveRequest request) {
+void EntryCore::SubmitRequest(RequestId id, LiveRequest request) {
   dispatch::RequestArrived arrived{.request = id,
                                    .pool = request.pool,
                                    .operation = request.operation,
                                    .idempotent = request.idempotent,
                                    .deadline = request.deadline,
                                    .job_key = request.body_hash};
-  live_.emplace(id, std::move(request));
-  Dispatch(arrived);
+  live_requests_.emplace(id, std::move(request));
+  QueueDispatchMessage(arrived);
 }
 
 EntryActions EntryCore::Cancel(Time now, WallMillis wall, RequestId request) {
-  Enter(now, wall);
-  if (held_.erase(request) > 0) {
-    Run(claims_.Finish(now_, request, ClaimNotRun{}));
+  BeginCall(now, wall);
+  if (awaiting_claim_.erase(request) > 0) {
+    HandleActions(claims_.Finish(now_, request, ClaimNotRun{}));
     actions_.push_back(DropRequest{request});
-    return Exit();
+    return EndCall();
   }
-  if (live_.contains(request))
-    Dispatch(dispatch::RequestCancelled{request});
-  return Exit();
+  if (live_requests_.contains(request))
+    QueueDispatchMessage(dispatch::RequestCancelled{request});
+  return EndCall();
 }
 
 void EntryCore::Refuse(RequestId id,
@@ -215,37 +216,36 @@
                                    may_have_run, retry_after});
 }
 
-// Dispatch.
-
-void EntryCore::Dispatch(const dispatch::Message& message) {
-  pending_.push_back(message);
+void EntryCore::QueueDispatchMessage(const dispatch::Message& message) {
+  dispatch_messages_.push_back(message);
 }
 
-// Messages queue up, because a message that results from an action must not
-// reach the dispatcher before the other actions of that call were carried out.
-void EntryCore::RunDispatch() {
-  while (!pending_.empty()) {
-    dispatch::Message message = std::move(pending_.front());
-    pending_.pop_front();
+// Messages are queued, because a message that results from an action must not
+// reach the dispatcher before the other actions of the same Handle() call have
+// been carried out.
+void EntryCore::RunDispatcher() {
+  while (!dispatch_messages_.empty()) {
+    dispatch::Message message = std::move(dispatch_messages_.front());
+    dispatch_messages_.pop_front();
     for (const dispatch::Action& action : dispatcher_.Handle(now_, message))
-      std::visit([this](const auto& a) { On(a); }, action);
+      std::visit([this](const auto& a) { HandleAction(a); }, action);
   }
 }
 
-void EntryCore::On(const dispatch::SendAttempt& send) {
-  LiveRequest& request = live_.at(send.request);
+void EntryCore::HandleAction(const dispatch::SendAttempt& send) {
+  LiveRequest& request = live_requests_.at(send.request);
   request.attempt = send.attempt;
   request.host = send.host;
   request.connection = {};
-  Run(backend_.Acquire(now_, {.host = send.host,
-                              .request = send.request,
-                              .job = request.body_hash,
-                              .idempotent = request.idempotent,
-                              .deadline = request.deadline}));
+  HandleActions(backend_.Acquire(now_, {.host = send.host,
+                                        .request = send.request,
+                                        .request_hash = request.body_hash,
+                                        .idempotent = request.idempotent,
+                                        .deadline = request.deadline}));
 }
 
-void EntryCore::On(const dispatch::AbortAttempt& abort) {
-  LiveRequest* request = FindIn(live_, abort.request);
+void EntryCore::HandleAction(const dispatch::AbortAttempt& abort) {
+  LiveRequest* request = FindIn(live_requests_, abort.request);
   if (request == nullptr)
     return;
   ConnectionId connection = std::exchange(request->connection, {});
@@ -254,14 +254,14 @@
     request->may_have_run = true;
   bool timed_out = connection.value != 0 && now_ >= request->deadline;
   exchanges_.erase(connection);
-  // A missed deadline is a sign of a silent connection; a cancellation or a
-  // restart is not.
-  Run(timed_out ? backend_.OnTimeout(now_, connection)
-                : backend_.Abandon(now_, abort.host, abort.request));
+  // A missed deadline is evidence that the connection is silent; any other
+  // reason to abort is not.
+  HandleActions(timed_out ? backend_.OnTimeout(now_, connection)
+                          : backend_.Abandon(now_, abort.host, abort.request));
 }
 
-void EntryCore::On(const dispatch::Finish& finish) {
-  auto node = live_.extract(finish.request);
+void EntryCore::HandleAction(const dispatch::Finish& finish) {
+  auto node = live_requests_.extract(finish.request);
   if (node.empty())
     return;
   LiveRequest& request = node.mapped();
@@ -272,7 +272,7 @@
   event.pool = request.pool;
   event.host = request.host;
   event.detail = std::string(dispatch::ReasonCode(finish.reason));
-  Record(EventOf(finish.outcome), std::move(event));
+  RecordTimelineEvent(EventKindOf(finish.outcome), std::move(event));
   switch (finish.outcome) {
     case dispatch::Outcome::kCompleted:
       actions_.push_back(DeliverAnswer{finish.request, request.connection});
@@ -282,7 +282,7 @@
       return;
     case dispatch::Outcome::kRefused:
     case dispatch::Outcome::kUnknown:
-      Refuse(finish.request, StatusOf(finish),
+      Refuse(finish.request, HttpStatusOf(finish),
              dispatch::ReasonCode(finish.reason),
              finish.outcome == dispatch::Outcome::kUnknown, finish.retry_after);
       return;
@@ -290,93 +290,93 @@
 }
 
 void EntryCore::ReportAttempt(RequestId id, dispatch::AttemptOutcome outcome) {
-  LiveRequest* request = FindIn(live_, id);
+  LiveRequest* request = FindIn(live_requests_, id);
   if (request == nullptr)
     return;
   request->may_have_run =
       request->may_have_run ||
       (outcome != dispatch::AttemptOutcome::kNotRun &&
        outcome != dispatch::AttemptOutcome::kFailedBeforeWrite);
-  Dispatch(dispatch::AttemptResult{.request = id,
-                                   .attempt = request->attempt,
-                                   .host = request->host,
-                                   .outcome = outcome});
+  QueueDispatchMessage(dispatch::AttemptResult{.request = id,
+                                               .attempt = request->attempt,
+                                               .host = request->host,
+                                               .outcome = outcome});
 }
 
-// Backend connections.
-
 EntryActions EntryCore::OnConnectionOpened(Time now,
                                            WallMillis wall,
                                            ConnectionId connection) {
-  Enter(now, wall);
-  Run(backend_.OnConnectionOpened(now_, connection));
-  return Exit();
+  BeginCall(now, wall);
+  HandleActions(backend_.OnConnectionOpened(now_, connection));
+  return EndCall();
 }
 
 EntryActions EntryCore::OnConnectionOpenFailed(Time now,
                                                WallMillis wall,
                                                ConnectionId connection) {
-  Enter(now, wall);
-  Run(backend_.OnConnectionOpenFailed(now_, connection));
-  return Exit();
+  BeginCall(now, wall);
+  HandleActions(backend_.OnConnectionOpenFailed(now_, connection));
+  return EndCall();
 }
 
 EntryActions EntryCore::OnBackendAnswer(Time now,
                                         WallMillis wall,
                                         const BackendAnswer& answer) {
-  Enter(now, wall);
-  if (probes_.erase(answer.connection) > 0) {
-    Run(backend_.OnProbeAnswered(now_, answer.connection, answer.leaving));
-    return Exit();
+  BeginCall(now, wall);
+  if (probe_connections_.erase(answer.connection) > 0) {
+    HandleActions(
+        backend_.OnProbeAnswered(now_, answer.connection, answer.leaving));
+    return EndCall();
   }
   auto node = exchanges_.extract(answer.connection);
   if (node.empty()) {
     ++counters_.unmatched_answers;
-    return Exit();
+    return EndCall();
   }
-  ExchangeResult result = ResultOf(answer);
-  Run(backend_.OnExchangeFinished(now_, {.connection = answer.connection,
+  ExchangeResult result = ExchangeResultOf(answer);
+  HandleActions(
+      backend_.OnExchangeFinished(now_, {.connection = answer.connection,
                                          .result = result,
                                          .reusable = answer.reusable,
                                          .leaving = answer.leaving}));
-  if (LiveRequest* request = FindIn(live_, node.mapped()))
-    request->encoded = answer.encoded;
+  if (LiveRequest* request = FindIn(live_requests_, node.mapped()))
+    request->encoded_answer = answer.encoded;
   ReportAttempt(node.mapped(), AttemptOutcomeOf(result));
-  return Exit();
+  return EndCall();
 }
 
 EntryActions EntryCore::OnConnectionEnded(Time now,
                                           WallMillis wall,
                                           ConnectionId connection) {
-  Enter(now, wall);
-  probes_.erase(connection);
+  BeginCall(now, wall);
+  probe_connections_.erase(connection);
   auto node = exchanges_.extract(connection);
-  Run(backend_.OnConnectionClosed(now_, connection));
+  HandleActions(backend_.OnConnectionClosed(now_, connection));
   if (!node.empty()) {
-    if (LiveRequest* request = FindIn(live_, node.mapped()))
+    if (LiveRequest* request = FindIn(live_requests_, node.mapped()))
       request->connection = {};
     ReportAttempt(node.mapped(), dispatch::AttemptOutcome::kLost);
   }
-  return Exit();
+  return EndCall();
 }
 
 bool EntryCore::keyed(ConnectionId connection) const {
   auto exchange = exchanges_.find(connection);
   if (exchange == exchanges_.end())
     return false;
-  auto it = live_.find(exchange->second);
-  return it != live_.end() && it->second.keyed;
+  auto it = live_requests_.find(exchange->second);
+  return it != live_requests_.end() && it->second.keyed;
 }
 
-void EntryCore::Run(const BackendActions& actions) {
+void EntryCore::HandleActions(const BackendActions& actions) {
   for (const BackendAction& action : actions)
-    std::visit([this](const auto& a) { On(a); }, action);
+    std::visit([this](const auto& a) { HandleAction(a); }, action);
 }
 
-void EntryCore::On(const OpenConnection& open) {
-  const HostState* host = view_.state().FindHost(open.host);
+void EntryCore::HandleAction(const OpenConnection& open) {
+  const HostState* host = config_view_.state().FindHost(open.host);
   if (host == nullptr) {
-    Run(backend_.OnConnectionOpenFailed(now_, open.connection));
+    HandleActions(backend_.OnConnectionOpenFailed(now_, open.connection));
     return;
   }
   actions_.push_back(
@@ -384,19 +384,19 @@
 }
 
 bool EntryCore::MayWrite(RequestId id, const LiveRequest& request) const {
-  return now_ < request.deadline && view_.MaySend(now_, request.host) &&
+  return now_ < request.deadline && config_view_.MaySend(now_, request.host) &&
          (!request.keyed || claims_.MaySend(now_, id));
 }
 
-void EntryCore::On(const StartExchange& start) {
-  LiveRequest* request = FindIn(live_, start.request);
+void EntryCore::HandleAction(const StartExchange& start) {
+  LiveRequest* request = FindIn(live_requests_, start.request);
   if (request == nullptr || request->host != start.host) {
-    Run(backend_.Abandon(now_, start.host, start.request));
+    HandleActions(backend_.Abandon(now_, start.host, start.request));
     return;
   }
   if (!MayWrite(start.request, *request)) {
     ++counters_.writes_withheld;
-    Run(backend_.Abandon(now_, start.host, start.request));
+    HandleActions(backend_.Abandon(now_, start.host, start.request));
     ReportAttempt(start.request, dispatch::AttemptOutcome::kFailedBeforeWrite);
     return;
   }
@@ -404,89 +404,91 @@
                        !exchanges_.contains(start.connection));
   ++counters_.writes;
   request->connection = start.connection;
-  request->written = now_;
+  request->written_at = now_;
   exchanges_[start.connection] = start.request;
   actions_.push_back(WriteBackendRequest{start.connection, start.request});
 }
 
-void EntryCore::On(const AcquireFailed& failed) {
+void EntryCore::HandleAction(const AcquireFailed& failed) {
   ReportAttempt(failed.request, dispatch::AttemptOutcome::kFailedBeforeWrite);
 }
 
-void EntryCore::On(const ProbeConnection& probe) {
-  probes_.insert(probe.connection);
+void EntryCore::HandleAction(const ProbeConnection& probe) {
+  probe_connections_.insert(probe.connection);
   actions_.push_back(WriteBackendProbe{probe.connection});
 }
 
-void EntryCore::On(const CloseConnection& close) {
-  probes_.erase(close.connection);
+void EntryCore::HandleAction(const CloseConnection& close) {
+  probe_connections_.erase(close.connection);
   actions_.push_back(CloseBackendConnection{close.connection});
 }
 
-// An attempt that takes long is not yet a lost one: long work runs far beyond
-// the usual run time. It is given up when a third of its time has passed, so
-// that two more attempts fit.
-void EntryCore::On(const AttemptSuspect& suspect) {
-  LiveRequest* request = FindIn(live_, suspect.request);
+// A suspect attempt may just be long work, which runs far beyond the usual run
+// time. The attempt is given up when a third of the time between its write and
+// the deadline has passed, so that two more attempts fit.
+void EntryCore::HandleAction(const AttemptSuspect& suspect) {
+  LiveRequest* request = FindIn(live_requests_, suspect.request);
   if (request == nullptr || !request->idempotent)
     return;
-  Duration third = (request->deadline - request->written) / 3;
-  suspects_.emplace(request->written + third, suspect.request);
+  Duration third = (request->deadline - request->written_at) / 3;
+  suspect_requests_.emplace(request->written_at + third, suspect.request);
 }
 
-void EntryCore::GiveUpSuspects() {
-  while (!suspects_.empty() && suspects_.begin()->first <= now_) {
-    auto [time, id] = *suspects_.begin();
-    suspects_.erase(suspects_.begin());
-    LiveRequest* request = FindIn(live_, id);
+void EntryCore::GiveUpOverdueSuspects() {
+  while (!suspect_requests_.empty() &&
+         suspect_requests_.begin()->first <= now_) {
+    auto [time, id] = *suspect_requests_.begin();
+    suspect_requests_.erase(suspect_requests_.begin());
+    LiveRequest* request = FindIn(live_requests_, id);
     if (request == nullptr || request->connection.value == 0)
       continue;
-    // A later attempt of the same request has its own time.
-    if (request->written + (request->deadline - request->written) / 3 > now_)
+    // The entry belongs to an earlier attempt; the current one started later.
+    if (request->written_at + (request->deadline - request->written_at) / 3 >
+        now_)
       continue;
     ConnectionId connection = std::exchange(request->connection, {});
     exchanges_.erase(connection);
-    Run(backend_.OnTimeout(now_, connection));
+    HandleActions(backend_.OnTimeout(now_, connection));
     ReportAttempt(id, dispatch::AttemptOutcome::kLost);
   }
 }
 
-void EntryCore::On(const TargetChanged& changed) {
+void EntryCore::HandleAction(const TargetChanged& changed) {
   RefreshTarget(changed.host);
 }
 
-void EntryCore::On(const Ejected& ejected) {
+void EntryCore::HandleAction(const HostEjected& ejected) {
   TimelineEvent event;
   event.host = ejected.host;
-  Record(EventKind::kBackendEjected, std::move(event));
+  RecordTimelineEvent(EventKind::kBackendEjected, std::move(event));
 }
 
-void EntryCore::On(const Restored& restored) {
+void EntryCore::HandleAction(const HostRestored& restored) {
   TimelineEvent event;
   event.host = restored.host;
-  Record(EventKind::kBackendRestored, std::move(event));
+  RecordTimelineEvent(EventKind::kBackendRestored, std::move(event));
 }
 
-void EntryCore::On(const Leaving& leaving) {
+void EntryCore::HandleAction(const HostLeaving& leaving) {
   TimelineEvent event;
   event.host = leaving.host;
-  Record(EventKind::kBackendLeaving, std::move(event));
+  RecordTimelineEvent(EventKind::kBackendLeaving, std::move(event));
   if (leaving.source == LeavingSource::kServer) {
-    told_leaving_.insert(leaving.host);
-    NotifyLeaving();
+    leaving_hosts_.insert(leaving.host);
+    SendLeavingNotices();
   }
 }
 
-// A server announces its leaving only in answers, so a process that has not
-// asked it lately learns of it from its peers.
-void EntryCore::NotifyLeaving() {
-  next_notice_ = now_ + kNoticePeriod;
-  std::erase_if(told_leaving_, [this](const HostId& id) {
+// A server announces only in its answers that it is leaving, so an entry
+// process that has sent it no request lately learns of it from its peers.
+void EntryCore::SendLeavingNotices() {
+  next_leaving_notice_ = now_ + kLeavingNoticePeriod;
+  std::erase_if(leaving_hosts_, [this](const HostId& id) {
     return !backend_.leaving(id, LeavingSource::kServer);
   });
-  if (told_leaving_.empty())
+  if (leaving_hosts_.empty())
     return;
-  LeavingNotice notice{{told_leaving_.begin(), told_leaving_.end()}};
+  LeavingNotice notice{{leaving_hosts_.begin(), leaving_hosts_.end()}};
   for (const PeerInfo* peer : peers_.LivePeers()) {
     if (peer->record.role == MemberRole::kEntry)
       SendTo(peer->record.id, notice);
@@ -494,46 +496,44 @@
 }
 
 void EntryCore::ExpirePeerLeaving() {
-  std::erase_if(peer_leaving_, [this](const auto& item) {
+  std::erase_if(peer_leaving_until_, [this](const auto& item) {
     if (now_ < item.second)
       return false;
-    Run(backend_.SetPeerLeaving(now_, item.first, false));
+    HandleActions(backend_.SetPeerLeaving(now_, item.first, false));
     return true;
   });
 }
 
-void EntryCore::On(const JobCharged&) {}
+void EntryCore::HandleAction(const PoisonRequestDetected&) {}
 
-// Claims.
-
-void EntryCore::Run(std::vector<ClaimAction> actions) {
+void EntryCore::HandleActions(std::vector<ClaimAction> actions) {
   for (ClaimAction& action : actions) {
     if (auto* call = std::get_if<StoreCall>(&action)) {
-      actions_.push_back(Own(CallOwner::kClaims, std::move(*call)));
+      actions_.push_back(TagWithOwner(CallOwner::kClaims, std::move(*call)));
     } else if (auto* granted = std::get_if<ClaimGranted>(&action)) {
-      On(*granted);
+      HandleAction(*granted);
     } else if (auto* replay = std::get_if<ClaimReplay>(&action)) {
-      On(*replay);
+      HandleAction(*replay);
     } else {
-      On(std::get<ClaimRejected>(action));
+      HandleAction(std::get<ClaimRejected>(action));
     }
   }
 }
 
-void EntryCore::On(const ClaimGranted& granted) {
-  auto node = held_.extract(granted.request);
+void EntryCore::HandleAction(const ClaimGranted& granted) {
+  auto node = awaiting_claim_.extract(granted.request);
   if (node.empty())
     return;
-  Arrive(granted.request, std::move(node.mapped()));
+  SubmitRequest(granted.request, std::move(node.mapped()));
 }
 
-void EntryCore::On(const ClaimReplay& replay) {
-  held_.erase(replay.request);
+void EntryCore::HandleAction(const ClaimReplay& replay) {
+  awaiting_claim_.erase(replay.request);
   actions_.push_back(ReplayAnswer{replay.request, replay.answer});
 }
 
-void EntryCore::On(const ClaimRejected& rejected) {
-  held_.erase(rejected.request);
+void EntryCore::HandleAction(const ClaimRejected& rejected) {
+  awaiting_claim_.erase(rejected.request);
   Refuse(rejected.request, static_cast<unsigned>(HttpStatus(rejected.reason)),
          ReasonCode(rejected.reason), rejected.may_have_run, Seconds(1));
 }
@@ -544,26 +544,24 @@
   bool sent = request.may_have_run || request.connection.value != 0;
   ClaimResult result = ClaimMayHaveRun{};
   if (outcome == dispatch::Outcome::kCompleted) {
-    result = ClaimCompleted{request.encoded};
+    result = ClaimCompleted{request.encoded_answer};
   } else if (outcome == dispatch::Outcome::kRefused ||
              (outcome == dispatch::Outcome::kCancelled && !sent)) {
     result = ClaimNotRun{};
   }
-  Run(claims_.Finish(now_, id, std::move(result)));
+  HandleActions(claims_.Finish(now_, id, std::move(result)));
 }
 
-// Configuration.
-
-void EntryCore::Run(std::vector<ConfigAction> actions) {
+void EntryCore::HandleActions(std::vector<ConfigAction> actions) {
   for (ConfigAction& action : actions) {
     if (auto* call = std::get_if<StoreCall>(&action)) {
-      actions_.push_back(Own(CallOwner::kConfig, std::move(*call)));
+      actions_.push_back(TagWithOwner(CallOwner::kConfig, std::move(*call)));
     } else if (auto* send = std::get_if<SendConfigMessage>(&action)) {
       SendTo(send->to, std::move(send->message));
     } else {
       TimelineEvent event;
       event.config = std::get<ConfigInForce>(action).version;
-      Record(EventKind::kConfigInForce, std::move(event));
+      RecordTimelineEvent(EventKind::kConfigInForce, std::move(event));
       ApplyConfig();
     }
   }
@@ -578,59 +576,60 @@
 }
 
 void EntryCore::ApplyPools() {
-  const FleetState& state = view_.state();
+  const FleetState& state = config_view_.state();
   for (const auto& [id, pool] : state.pools) {
     pools_.insert(id);
-    Dispatch(dispatch::PoolSet{id, pool.queue_limit, pool.closed});
+    QueueDispatchMessage(dispatch::PoolSet{id, pool.queue_limit, pool.closed});
   }
   std::erase_if(pools_, [&](const PoolId& id) {
     if (state.pools.contains(id))
       return false;
-    Dispatch(dispatch::PoolRemoved{id});
-    Run(holder_.RemovePool(now_, id));
-    Run(allocator_.RemovePool(now_, id));
+    QueueDispatchMessage(dispatch::PoolRemoved{id});
+    HandleActions(slot_holder_.RemovePool(now_, id));
+    HandleActions(slot_allocator_.RemovePool(now_, id));
     return true;
   });
 }
 
 void EntryCore::ApplyHosts() {
-  const FleetState& state = view_.state();
-  std::vector<HostId> due = SoonDueHosts(state);
-  soon_due_ = {due.begin(), due.end()};
+  const FleetState& state = config_view_.state();
+  std::vector<HostId> due_hosts = SoonDueHosts(state);
+  hosts_due_for_drain_ = {due_hosts.begin(), due_hosts.end()};
   for (const auto& [id, host] : state.hosts) {
     Target& target = targets_[id];
     if (target.pool != host.pool) {
       if (!target.pool.empty())
-        Dispatch(dispatch::TargetRemoved{target.pool, id});
+        QueueDispatchMessage(dispatch::TargetRemoved{target.pool, id});
       target = Target{.pool = host.pool, .local = host.zone == options_.zone};
     }
-    // Only the phase: a host without permission is leaving until the next
-    // configuration. MaySend() also depends on the registration and on time,
-    // and is asked anew in RefreshTarget() and before each write.
-    Run(backend_.SetHost(now_,
-                         {.host = id,
-                          .pool = host.pool,
-                          .epoch = host.epoch,
-                          .permitted = host.phase == HostPhase::kActive}));
+    // Permission here depends on the host's phase only, because a host without
+    // it counts as leaving until the next configuration. MaySend() also depends
+    // on the registration and on time, so RefreshTarget() and each write check
+    // it again.
+    HandleActions(backend_.SetHost(
+        now_, {.host = id,
+               .pool = host.pool,
+               .epoch = host.epoch,
+               .permitted = host.phase == HostPhase::kActive}));
   }
   std::erase_if(targets_, [&](const auto& item) {
     if (state.hosts.contains(item.first))
       return false;
-    Dispatch(dispatch::TargetRemoved{item.second.pool, item.first});
-    Run(backend_.RemoveHost(now_, item.first));
+    QueueDispatchMessage(dispatch::TargetRemoved{item.second.pool, item.first});
+    HandleActions(backend_.RemoveHost(now_, item.first));
     return true;
   });
 }
 
 void EntryCore::ApplySlots() {
   std::map<PoolId, std::vector<HostSlots>> slots;
-  for (const auto& [id, host] : view_.state().hosts) {
+  for (const auto& [id, host] : config_view_.state().hosts) {
     if (host.zone == options_.zone && host.phase == HostPhase::kActive)
       slots[host.pool].push_back({id, host.slots});
   }
   for (const PoolId& pool : pools_) {
-    Run(holder_.SetPool(now_, pool, slots[pool]));
-    Run(allocator_.SetPool(now_, pool, slots[pool]));
+    HandleActions(slot_holder_.SetPool(now_, pool, slots[pool]));
+    HandleActions(slot_allocator_.SetPool(now_, pool, slots[pool]));
   }
 }
 
@@ -639,25 +638,26 @@
   if (it == targets_.end())
     return;
   Target next = it->second;
-  next.usable = view_.MaySend(now_, id) && backend_.usable(id);
-  next.leaving_soon = soon_due_.contains(id);
-  // The learned limit lets a process borrow slots that others leave idle; a
-  // grant alone reacts too slowly to shifting demand (design 5.4).
+  next.usable = config_view_.MaySend(now_, id) && backend_.usable(id);
+  next.leaving_soon = hosts_due_for_drain_.contains(id);
+  // The learned limit lets this process use slots that other entry processes
+  // leave idle; slot grants alone react too slowly to shifting demand.
   next.limit =
       next.local
-          ? std::min(backend_.ceiling(id),
-                     std::max(static_cast<int>(holder_.share(next.pool, id)),
-                              backend_.limit(id)))
-          : std::min(kOtherZoneLimit, backend_.limit(id));
+          ? std::min(
+                backend_.ceiling(id),
+                std::max(static_cast<int>(slot_holder_.share(next.pool, id)),
+                         backend_.limit(id)))
+          : std::min(kOtherZoneHostLimit, backend_.limit(id));
   if (next == it->second)
     return;
   it->second = next;
-  Dispatch(dispatch::TargetSet{.pool = next.pool,
-                               .host = id,
-                               .usable = next.usable,
-                               .local_zone = next.local,
-                               .limit = next.limit,
-                               .leaving_soon = next.leaving_soon});
+  QueueDispatchMessage(dispatch::TargetSet{.pool = next.pool,
+                                           .host = id,
+                                           .usable = next.usable,
+                                           .local_zone = next.local,
+                                           .limit = next.limit,
+                                           .leaving_soon = next.leaving_soon});
 }
 
 void EntryCore::RefreshTargets() {
@@ -667,20 +667,20 @@
 
 void EntryCore::RefreshDemand() {
   for (const PoolId& pool : pools_) {
-    Run(holder_.SetWanted(now_, pool,
-                          static_cast<uint32_t>(dispatcher_.demand(pool))));
+    HandleActions(slot_holder_.SetWanted(
+        now_, pool, static_cast<uint32_t>(dispatcher_.demand(pool))));
   }
   for (const auto& [id, target] : targets_) {
     if (target.local) {
-      holder_.SetInUse(target.pool, id,
-                       static_cast<uint32_t>(backend_.in_flight(id)));
+      slot_holder_.SetInUse(target.pool, id,
+                            static_cast<uint32_t>(backend_.in_flight(id)));
     }
   }
 }
 
 std::vector<HostId> EntryCore::BusyHosts() const {
   std::vector<HostId> busy;
-  for (const auto& [id, host] : view_.state().hosts) {
+  for (const auto& [id, host] : config_view_.state().hosts) {
     if (host.phase == HostPhase::kDraining && backend_.in_flight(id) > 0)
       busy.push_back(id);
   }
@@ -688,36 +688,35 @@
 }
 
 void EntryCore::RefreshMembership() {
-  view_.SetBusyHosts(BusyHosts());
-  bool permitted = view_.MaySend(now_);
-  view_.SetRegistered(member_.registered());
-  // Otherwise a process that is ready would refuse until the next refresh.
-  if (!permitted && view_.MaySend(now_))
+  config_view_.SetBusyHosts(BusyHosts());
+  bool permitted = config_view_.MaySend(now_);
+  config_view_.SetRegistered(member_.registered());
+  // Without this, a process that has just become ready would refuse requests
+  // until the next periodic refresh.
+  if (!permitted && config_view_.MaySend(now_))
     RefreshTargets();
-  member_.SetAcknowledgement(view_.AcknowledgedVersion(now_),
-                             view_.AcknowledgedBusyHosts(now_));
-  peers_.SetSelf(member_.record().incarnation, view_.version());
+  member_.SetAcknowledgement(config_view_.AcknowledgedVersion(now_),
+                             config_view_.AcknowledgedBusyHosts(now_));
+  peers_.SetSelf(member_.record().incarnation, config_view_.version());
 }
 
-// Members and peers.
-
-void EntryCore::Run(std::vector<MemberAction> actions) {
+void EntryCore::HandleActions(std::vector<MemberAction> actions) {
   for (MemberAction& action : actions) {
     if (auto* call = std::get_if<StoreCall>(&action)) {
-      actions_.push_back(Own(CallOwner::kMember, std::move(*call)));
+      actions_.push_back(TagWithOwner(CallOwner::kMember, std::move(*call)));
     } else if (std::holds_alternative<MemberSuperseded>(action)) {
       actions_.push_back(EndProcess{"a newer process has the same member id"});
     } else if (std::holds_alternative<MemberRegistered>(action)) {
-      Record(EventKind::kMemberJoined, {});
+      RecordTimelineEvent(EventKind::kMemberJoined, {});
       RefreshMembership();
     }
   }
 }
 
-void EntryCore::Run(std::vector<PeerAction> actions) {
+void EntryCore::HandleActions(std::vector<PeerAction> actions) {
   for (PeerAction& action : actions) {
     if (auto* call = std::get_if<StoreCall>(&action)) {
-      actions_.push_back(Own(CallOwner::kPeers, std::move(*call)));
+      actions_.push_back(TagWithOwner(CallOwner::kPeers, std::move(*call)));
     } else if (auto* send = std::get_if<SendHeartbeat>(&action)) {
       actions_.push_back(
           SendPeerMessage{send->to, send->address, std::move(send->heartbeat)});
@@ -727,17 +726,19 @@
   }
 }
 
-void EntryCore::Run(SlotActions actions) {
+void EntryCore::HandleActions(SlotActions actions) {
   for (SlotAction& action : actions) {
     if (auto* demand = std::get_if<SendDemand>(&action)) {
       if (demand->to == options_.member) {
-        Run(allocator_.HandleDemand(now_, options_.member, demand->demand));
+        HandleActions(slot_allocator_.HandleDemand(now_, options_.member,
+                                                   demand->demand));
       } else {
         SendTo(demand->to, std::move(demand->demand));
       }
     } else if (auto* grant = std::get_if<SendGrant>(&action)) {
       if (grant->to == options_.member) {
-        Run(holder_.HandleGrant(now_, options_.member, grant->grant));
+        HandleActions(
+            slot_holder_.HandleGrant(now_, options_.member, grant->grant));
       } else {
         SendTo(grant->to, std::move(grant->grant));
       }
@@ -747,8 +748,8 @@
   }
 }
 
-// Live entry processes: all as peers of the view, those of the zone as sharers
-// of its slots.
+// Updates the live entry processes: all of them are peers of the configuration
+// view, and those of this zone share the zone's slots.
 void EntryCore::UpdateMembers() {
   std::vector<ConfigPeer> config_peers;
   std::vector<MemberId> zone_members{options_.member};
@@ -760,13 +761,13 @@
     if (record.zone == options_.zone)
       zone_members.push_back(record.id);
   }
-  view_.SetPeers(std::move(config_peers));
+  config_view_.SetPeers(std::move(config_peers));
   std::sort(zone_members.begin(), zone_members.end());
   if (zone_members == zone_members_)
     return;
   zone_members_ = std::move(zone_members);
-  Run(holder_.SetMembers(now_, zone_members_));
-  Run(allocator_.SetMembers(now_, zone_members_));
+  HandleActions(slot_holder_.SetMembers(now_, zone_members_));
+  HandleActions(slot_allocator_.SetMembers(now_, zone_members_));
   RefreshTargets();
 }
 
@@ -778,7 +779,8 @@
       SendPeerMessage{to, peer->record.addresses[0], std::move(message)});
 }
 
-void EntryCore::OnPeer(const MemberId& from, const PeerHello& hello) {
+void EntryCore::HandlePeerMessage(const MemberId& from,
+                                  const PeerHello& hello) {
   MemberRecord record;
   record.id = from;
   record.zone = hello.zone;
@@ -786,28 +788,32 @@
   peers_.AddConfiguredPeer(record);
 }
 
-void EntryCore::OnPeer(const MemberId&, const Heartbeat& heartbeat) {
-  Run(peers_.Handle(now_, heartbeat));
+void EntryCore::HandlePeerMessage(const MemberId&, const Heartbeat& heartbeat) {
+  HandleActions(peers_.Handle(now_, heartbeat));
 }
 
-void EntryCore::OnPeer(const MemberId& from, const ConfigPeerMessage& message) {
-  Run(view_.Handle(now_, from, message));
+void EntryCore::HandlePeerMessage(const MemberId& from,
+                                  const ConfigPeerMessage& message) {
+  HandleActions(config_view_.Handle(now_, from, message));
 }
 
-void EntryCore::OnPeer(const MemberId& from, const SlotDemand& demand) {
-  Run(allocator_.HandleDemand(now_, from, demand));
+void EntryCore::HandlePeerMessage(const MemberId& from,
+                                  const SlotDemand& demand) {
+  HandleActions(slot_allocator_.HandleDemand(now_, from, demand));
 }
 
-void EntryCore::OnPeer(const MemberId& from, const SlotGrant& grant) {
-  Run(holder_.HandleGrant(now_, from, grant));
+void EntryCore::HandlePeerMessage(const MemberId& from,
+                                  const SlotGrant& grant) {
+  HandleActions(slot_holder_.HandleGrant(now_, from, grant));
 }
 
-void EntryCore::OnPeer(const MemberId&, const LeavingNotice& notice) {
+void EntryCore::HandlePeerMessage(const MemberId&,
+                                  const LeavingNotice& notice) {
   for (const HostId& id : notice.hosts) {
     if (!targets_.contains(id))
       continue;
-    peer_leaving_[id] = now_ + kNoticeTerm;
-    Run(backend_.SetPeerLeaving(now_, id, true));
+    peer_leaving_until_[id] = now_ + kLeavingNoticeValidity;
+    HandleActions(backend_.SetPeerLeaving(now_, id, true));
   }
 }
 
@@ -816,87 +822,91 @@
                                const MemberId& from,
                                HybridTime stamp,
                                const PeerMessage& message) {
-  Enter(now, wall);
+  BeginCall(now, wall);
   clock_.Merge(wall, stamp);
-  std::visit([this, &from](const auto& m) { OnPeer(from, m); }, message);
-  return Exit();
+  std::visit([this, &from](const auto& m) { HandlePeerMessage(from, m); },
+             message);
+  return EndCall();
 }
 
 EntryActions EntryCore::Handle(Time now,
                                WallMillis wall,
                                const StoreAnswer& answer) {
-  Enter(now, wall);
-  StoreAnswer inner{answer.tag / kOwners, answer.reply};
-  switch (static_cast<CallOwner>(answer.tag % kOwners)) {
+  BeginCall(now, wall);
+  StoreAnswer inner{answer.tag / kCallOwnerCount, answer.reply};
+  switch (static_cast<CallOwner>(answer.tag % kCallOwnerCount)) {
     case CallOwner::kConfig:
-      Run(view_.Handle(now_, inner));
+      HandleActions(config_view_.Handle(now_, inner));
       break;
     case CallOwner::kMember:
-      Run(member_.Handle(now_, inner));
+      HandleActions(member_.Handle(now_, inner));
       break;
     case CallOwner::kPeers:
-      Run(peers_.Handle(now_, inner));
+      HandleActions(peers_.Handle(now_, inner));
       break;
     case CallOwner::kClaims:
-      Run(claims_.Handle(now_, wall_, inner));
+      HandleActions(claims_.Handle(now_, wall_, inner));
       break;
   }
-  return Exit();
+  return EndCall();
 }
 
 EntryActions EntryCore::Tick(Time now, WallMillis wall) {
-  Enter(now, wall);
+  BeginCall(now, wall);
   if (zone_members_.empty())
     UpdateMembers();
-  GiveUpSuspects();
-  Run(view_.Tick(now_));
-  Run(member_.Tick(now_));
-  Run(peers_.Tick(now_, clock_.Tick(wall_)));
-  Run(claims_.Tick(now_));
-  Run(backend_.Tick(now_));
-  Run(holder_.Tick(now_));
-  Run(allocator_.Tick(now_));
-  Dispatch(dispatch::Tick{});
-  RunDispatch();
-  if (now_ >= next_refresh_) {
-    next_refresh_ = now_ + kRefreshPeriod;
+  GiveUpOverdueSuspects();
+  HandleActions(config_view_.Tick(now_));
+  HandleActions(member_.Tick(now_));
+  HandleActions(peers_.Tick(now_, clock_.Tick(wall_)));
+  HandleActions(claims_.Tick(now_));
+  HandleActions(backend_.Tick(now_));
+  HandleActions(slot_holder_.Tick(now_));
+  HandleActions(slot_allocator_.Tick(now_));
+  QueueDispatchMessage(dispatch::Tick{});
+  RunDispatcher();
+  if (now_ >= next_target_refresh_) {
+    next_target_refresh_ = now_ + kTargetRefreshPeriod;
     ExpirePeerLeaving();
-    if (now_ >= next_notice_)
-      NotifyLeaving();
+    if (now_ >= next_leaving_notice_)
+      SendLeavingNotices();
     RefreshTargets();
     RefreshDemand();
     RefreshMembership();
   }
-  return Exit();
+  return EndCall();
 }
 
 Time EntryCore::next_wake() const {
-  Time wake = std::min(
-      {view_.next_wake(), member_.next_wake(), peers_.next_wake(),
-       claims_.next_wake(), backend_.next_wake(), dispatcher_.next_wake(),
-       holder_.next_wake(), allocator_.next_wake(), next_refresh_});
-  return suspects_.empty() ? wake : std::min(wake, suspects_.begin()->first);
+  Time wake =
+      std::min({config_view_.next_wake(), member_.next_wake(),
+                peers_.next_wake(), claims_.next_wake(), backend_.next_wake(),
+                dispatcher_.next_wake(), slot_holder_.next_wake(),
+                slot_allocator_.next_wake(), next_target_refresh_});
+  return suspect_requests_.empty()
+             ? wake
+             : std::min(wake, suspect_requests_.begin()->first);
 }
 
 EntryActions EntryCore::Drain(Time now, WallMillis wall, Time grace_deadline) {
-  Enter(now, wall);
+  BeginCall(now, wall);
   draining_ = true;
-  Dispatch(dispatch::DrainStarted{grace_deadline});
-  return Exit();
+  QueueDispatchMessage(dispatch::DrainStarted{grace_deadline});
+  return EndCall();
 }
 
 EntryActions EntryCore::Leave(Time now, WallMillis wall) {
-  Enter(now, wall);
+  BeginCall(now, wall);
   member_.Leave();
-  Run(member_.Tick(now_));
-  return Exit();
+  HandleActions(member_.Tick(now_));
+  return EndCall();
 }
 
-void EntryCore::Record(EventKind kind, TimelineEvent event) {
+void EntryCore::RecordTimelineEvent(EventKind kind, TimelineEvent event) {
   event.kind = kind;
   event.stamp = clock_.Tick(wall_);
   if (event.config == 0)
-    event.config = view_.version();
+    event.config = config_view_.version();
   actions_.push_back(RecordEvent{std::move(event)});
 }
 
--- a/radishmoor/entry/entry_messages.h
+++ b/radishmoor/entry/entry_messages.h
@@ -1,5 +1,4 @@
-// Messages into and actions out of the entry process without I/O
-// (entry_core.h).
+// Messages to EntryCore (entry_core.h) and the actions that it returns.
 
 #ifndef RADISHMOOR_ENTRY_ENTRY_MESSAGES_H_
 #define RADISHMOOR_ENTRY_ENTRY_MESSAGES_H_
@@ -20,37 +19,42 @@
 
 namespace radishmoor {
 
-// A request as the HTTP layer read it.
+// A caller's request, parsed by the HTTP layer.
 struct CallerRequest {
   RequestId id;
   PoolId service;
-  std::string operation;  // Second path segment; run times are learned by it.
+  // Second path segment. Run times are recorded for each operation.
+  std::string operation;
   bool idempotent = true;
   std::string key;         // Idempotency key; may be empty.
-  uint64_t body_hash = 0;  // Of method, target and body.
-  Duration deadline{};     // 0: the default of the service.
+  uint64_t body_hash = 0;  // Hash of method, target and body.
+  // Time from the arrival to the deadline; 0 for the default of the service.
+  Duration deadline{};
 };
 
-// What a backend server answered. `encoded` holds the whole answer for a repeat
-// of the same key; it is needed only when EntryCore::keyed(connection).
+// The answer of a backend server. `encoded` holds the whole answer, which is
+// stored and returned to later requests with the same key. It may be left empty
+// unless EntryCore::keyed(connection).
 struct BackendAnswer {
   ConnectionId connection;
   unsigned status = 200;
   bool not_run = false;  // Radishmoor-Run: not-run
   bool leaving = false;  // Radishmoor-Leaving: 1
+  // The connection may carry another exchange.
   bool reusable = true;
   std::string encoded;
 };
 
-// A process of a seed address introduces itself; answered by heartbeats.
+// First message of a process that was given the receiver as a seed address. The
+// receiver then sends it heartbeats.
 struct PeerHello {
   MemberId from;
   ZoneId zone;
   std::string address;
 };
 
-// Hosts whose backend servers told the sender that they are leaving. Sent at
-// once and repeated each second for as long as it holds.
+// Lists hosts whose backend servers announced to the sender that they are
+// leaving. Sent immediately, and repeated each second while they are leaving.
 struct LeavingNotice {
   std::vector<HostId> hosts;
 };
@@ -62,8 +66,6 @@
                                  SlotGrant,
                                  LeavingNotice>;
 
-// Actions.
-
 struct OpenBackendConnection {
   ConnectionId connection;
   HostId host;
@@ -73,19 +75,21 @@
   ConnectionId connection;
   RequestId request;
 };
-// A request that does no work (OPTIONS *), answered by any HTTP server.
+// Writes a request that does no work (OPTIONS *) and that any HTTP server
+// answers.
 struct WriteBackendProbe {
   ConnectionId connection;
 };
 struct CloseBackendConnection {
   ConnectionId connection;
 };
-// Deliver the answer that the connection carried in this call.
+// Delivers the backend answer with which EntryCore was called. It came on
+// `connection`.
 struct DeliverAnswer {
   RequestId request;
   ConnectionId connection;
 };
-// Deliver the stored answer of an earlier request with the same key.
+// Delivers the stored answer of an earlier request with the same key.
 struct ReplayAnswer {
   RequestId request;
   std::string encoded;
@@ -97,7 +101,7 @@
   bool may_have_run = false;
   Duration retry_after{};
 };
-// The request was cancelled by its caller: nothing is delivered.
+// Ends a request that its caller cancelled. Nothing is delivered.
 struct DropRequest {
   RequestId request;
 };
@@ -109,7 +113,7 @@
 struct RecordEvent {
   TimelineEvent event;
 };
-// Another process with the same id took over: this one must end.
+// This process must end, because a newer one has the same member id.
 struct EndProcess {
   std::string why;
 };
--- a/radishmoor/entry/testing/entry_start_test.cc
+++ b/radishmoor/entry/testing/entry_start_test.cc
@@ -8,10 +8,10 @@
 namespace radishmoor {
 namespace {
 
-// An entry process on an in-memory table whose commits can be held back.
-class Started {
+// Runs one EntryCore with an in-memory table whose commits can be made to fail.
+class StartingEntry {
  public:
-  Started() : core_(Options()) {
+  StartingEntry() : core_(Options()) {
     FleetState none;
     ConfigDelta delta{.version = 1, .operation = {1}, .author = "test"};
     PoolState pool;
@@ -31,16 +31,18 @@
       Perform(core_.Tick(now_, 1'700'000'000'000));
   }
 
-  // Whether a request is sent towards the backend server; false if refused.
-  bool Sends() {
-    CallerRequest request{.id = {++requests_}, .service = PoolId("desk")};
+  // Makes a request. Returns whether the core opens a connection to the backend
+  // server for it.
+  bool SendsRequest() {
+    CallerRequest request{.id = {++last_request_id_},
+                          .service = PoolId("desk")};
     request.deadline = Seconds(2);
-    opened_ = 0;
+    opened_connections_ = 0;
     Perform(core_.Request(now_, 1'700'000'000'000, request));
-    return opened_ > 0;
+    return opened_connections_ > 0;
   }
 
-  bool hold_commits = false;
+  bool commits_unavailable = false;
 
  private:
   static EntryOptions Options() {
@@ -55,13 +57,13 @@
   void Perform(const EntryActions& actions) {
     for (const EntryAction& action : actions) {
       if (std::holds_alternative<OpenBackendConnection>(action))
-        ++opened_;
+        ++opened_connections_;
       const auto* call = std::get_if<StoreCall>(&action);
       if (call == nullptr)
         continue;
       bool commit = std::holds_alternative<CommitRows>(call->request);
-      StoreReply reply = UnavailableReply{"held back"};
-      if (!commit || !hold_commits)
+      StoreReply reply = UnavailableReply{"commits unavailable"};
+      if (!commit || !commits_unavailable)
         reply = table_.Handle(call->request);
       Perform(
           core_.Handle(now_, 1'700'000'000'000, StoreAnswer{call->tag, reply}));
@@ -71,20 +73,20 @@
   MemoryTable table_;
   EntryCore core_;
   Time now_ = kTimeZero + Seconds(1000);
-  uint64_t requests_ = 0;
-  int opened_ = 0;
+  uint64_t last_request_id_ = 0;
+  int opened_connections_ = 0;
 };
 
-// Guards against hosts that stay excluded until the next configuration change
+// Guards against hosts that stay unusable until the next configuration change
 // because the configuration came into force before the member row was written.
-TEST_CASE("A process that registers after its configuration sends requests") {
-  Started process;
-  process.hold_commits = true;
-  process.RunFor(Seconds(3));
-  CHECK_FALSE(process.Sends());
-  process.hold_commits = false;
-  process.RunFor(Seconds(10));
-  CHECK(process.Sends());
+TEST_CASE("A process whose first member commits fail sends requests later") {
+  StartingEntry entry;
+  entry.commits_unavailable = true;
+  entry.RunFor(Seconds(3));
+  CHECK_FALSE(entry.SendsRequest());
+  entry.commits_unavailable = false;
+  entry.RunFor(Seconds(10));
+  CHECK(entry.SendsRequest());
 }
 
 }  // namespace
