--- a/radishmoor/backend/backend_pool.cc
+++ b/radishmoor/backend/backend_pool.cc
@@ -644,7 +644,7 @@
 }
 
 Duration BackendPool::EarlyProbeAfter(const PoolId& pool) const {
-  const RunTimes& run_times = pools_.at(pool).run_times;
+  const RunTimeHistogram& run_times = pools_.at(pool).run_times;
   if (run_times.samples() < kMinRunTimeSamples)
     return options_.max_attempt_timeout;
   return std::max(Scale(run_times.Quantile(0.95), kEarlyProbeFactor),
@@ -652,7 +652,7 @@
 }
 
 Duration BackendPool::TypicalRunTime(const PoolId& pool) const {
-  const RunTimes& run_times = pools_.at(pool).run_times;
+  const RunTimeHistogram& run_times = pools_.at(pool).run_times;
   if (run_times.samples() < kMinRunTimeSamples)
     return kDefaultRunTime;
   return run_times.Quantile(0.5);
--- a/radishmoor/backend/backend_pool.h
+++ b/radishmoor/backend/backend_pool.h
@@ -401,7 +401,7 @@
   struct Pool {
     std::set<HostId> hosts;
     // Durations of successful exchanges.
-    RunTimes run_times{kRunTimeFadeSamples};
+    RunTimeHistogram run_times{kRunTimeFadeSamples};
   };
 
   struct FailedRequest {
--- a/radishmoor/entry/entry_core.cc
+++ b/radishmoor/entry/entry_core.cc
@@ -190,7 +190,7 @@
                                    .operation = request.operation,
                                    .idempotent = request.idempotent,
                                    .deadline = request.deadline,
-                                   .job_key = request.body_hash};
+                                   .content_hash = request.body_hash};
   live_requests_.emplace(id, std::move(request));
   QueueDispatchMessage(arrived);
 }
@@ -579,7 +579,8 @@
   const FleetState& state = config_view_.state();
   for (const auto& [id, pool] : state.pools) {
     pools_.insert(id);
-    QueueDispatchMessage(dispatch::PoolSet{id, pool.queue_limit, pool.closed});
+    QueueDispatchMessage(
+        dispatch::PoolUpdated{id, pool.queue_limit, pool.closed});
   }
   std::erase_if(pools_, [&](const PoolId& id) {
     if (state.pools.contains(id))
@@ -652,12 +653,13 @@
   if (next == it->second)
     return;
   it->second = next;
-  QueueDispatchMessage(dispatch::TargetSet{.pool = next.pool,
-                                           .host = id,
-                                           .usable = next.usable,
-                                           .local_zone = next.local,
-                                           .limit = next.limit,
-                                           .leaving_soon = next.leaving_soon});
+  QueueDispatchMessage(
+      dispatch::TargetUpdated{.pool = next.pool,
+                              .host = id,
+                              .usable = next.usable,
+                              .local_zone = next.local,
+                              .limit = next.limit,
+                              .leaving_soon = next.leaving_soon});
 }
 
 void EntryCore::RefreshTargets() {
@@ -695,8 +697,8 @@
   // until the next periodic refresh.
   if (!permitted && config_view_.MaySend(now_))
     RefreshTargets();
-  member_.SetAcknowledgement(config_view_.AcknowledgedVersion(now_),
-                             config_view_.AcknowledgedBusyHosts(now_));
+  member_.SetDrainAcknowledgement(config_view_.AcknowledgedVersion(now_),
+                                  config_view_.AcknowledgedBusyHosts(now_));
   peers_.SetSelf(member_.record().incarnation, config_view_.version());
 }
 
