--- a/radishmoor/entry/testing/system_driver.cc
+++ b/radishmoor/entry/testing/system_driver.cc
@@ -463,28 +463,29 @@
     process.connections[open.connection] = index;
     Duration delay = NetworkDelay(process.zone, host->zone);
     sim_.At(sim_.now + delay, [this, index, &process, host,
-                               start = process.start, delay] {
+                               incarnation = process.incarnation, delay] {
       Connection* conn = FindConnection(index);
       if (conn == nullptr || IsCut(process.zone, host->zone) ||
           IsCut(host->zone, process.zone))
         return;
       conn->host_open = host->is_up;
       conn->boot_count = host->boot_count;
-      sim_.Post(&process, start, delay, [this, index, opened = host->is_up] {
-        Connection* conn = FindConnection(index);
-        if (conn == nullptr || !conn->open)
-          return;
-        Process& process = *conn->sim_process;
-        if (opened) {
-          Perform(process, process.entry->OnConnectionOpened(
-                               Now(process), WallNow(process), conn->id));
-          return;
-        }
-        ConnectionId id = conn->id;
-        ForgetConnection(index);
-        Perform(process, process.entry->OnConnectionOpenFailed(
-                             Now(process), WallNow(process), id));
-      });
+      sim_.Post(
+          &process, incarnation, delay, [this, index, opened = host->is_up] {
+            Connection* conn = FindConnection(index);
+            if (conn == nullptr || !conn->open)
+              return;
+            Process& process = *conn->sim_process;
+            if (opened) {
+              Perform(process, process.entry->OnConnectionOpened(
+                                   Now(process), WallNow(process), conn->id));
+              return;
+            }
+            ConnectionId id = conn->id;
+            ForgetConnection(index);
+            Perform(process, process.entry->OnConnectionOpenFailed(
+                                 Now(process), WallNow(process), id));
+          });
     });
   }
 
