--- a/radishmoor/entry/testing/system_driver.cc
+++ b/radishmoor/entry/testing/system_driver.cc
@@ -441,13 +441,14 @@
     connections_[index] = {.proc = &p, .id = open.connection, .host = host};
     p.connections[open.connection] = index;
     Duration delay = Delay(p.zone, host->zone);
-    sim_.At(sim_.now + delay, [this, index, &p, host, start = p.start, delay] {
+    sim_.At(sim_.now + delay, [this, index, &p, host,
+                               incarnation = p.incarnation, delay] {
       Connection* c = Find(index);
       if (c == nullptr || Cut(p.zone, host->zone) || Cut(host->zone, p.zone))
         return;
       c->host_open = host->up;
       c->boot = host->boot;
-      sim_.Post(&p, start, delay, [this, index, opened = host->up] {
+      sim_.Post(&p, incarnation, delay, [this, index, opened = host->up] {
         Connection* c = Find(index);
         if (c == nullptr || !c->open)
           return;
