--- a/radishmoor/standins/backend_server.cc
+++ b/radishmoor/standins/backend_server.cc
@@ -27,7 +27,8 @@
   bool swallow = false;
   bool leaving = false;
   double truncate = 0;
-  uint64_t silent_below = 0;  // Connections with a smaller number swallow.
+  // Requests on connections with a smaller number are never answered.
+  uint64_t first_answered_connection = 0;
 };
 
 struct Execution {
@@ -39,13 +40,13 @@
   void operator()(std::FILE* file) const { std::fclose(file); }
 };
 
-std::string HeaderOr(const HttpRequest& request,
-                     std::string_view name,
-                     std::string_view fallback) {
+std::string HeaderOrDefault(const HttpRequest& request,
+                            std::string_view name,
+                            std::string_view fallback) {
   return std::string(FindHeader(request.headers, name).value_or(fallback));
 }
 
-HttpResponse NotRun(unsigned status, std::string reason) {
+HttpResponse NotRunResponse(unsigned status, std::string reason) {
   return {status, {{"Radishmoor-Run", "not-run"}}, std::move(reason)};
 }
 
@@ -64,15 +65,15 @@
   void MakeServer();
   void OnRequest(ExchangeId id, HttpRequest request);
   void OnAbandoned(ExchangeId id);
-  void OnWork(ExchangeId id, HttpRequest request);
-  void OnControl(ExchangeId id, const HttpRequest& request);
+  void OnWorkRequest(ExchangeId id, HttpRequest request);
+  void OnControlRequest(ExchangeId id, const HttpRequest& request);
   void SetFaults(const json::object& body);
   void Reboot(ExchangeId id);
   void StartNext();
   void Start(ExchangeId id, HttpRequest request);
   void Finish(ExchangeId id);
   Duration RunTime(const HttpRequest& request) const;
-  void Log(std::string_view event, const HttpRequest& request);
+  void LogExecution(std::string_view event, const HttpRequest& request);
   HttpResponse Stats() const;
 
   EventLoop& loop;
@@ -97,7 +98,8 @@
   if (!options.execution_log.empty()) {
     log.reset(std::fopen(options.execution_log.c_str(), "ae"));
     if (!log)
-      throw std::runtime_error("cannot open " + options.execution_log);
+      throw std::runtime_error("cannot open execution log " +
+                               options.execution_log);
   }
   MakeServer();
 }
@@ -117,21 +119,22 @@
 
 void BackendServer::Impl::OnRequest(ExchangeId id, HttpRequest request) {
   if (request.target.starts_with(kControlPath)) {
-    OnControl(id, request);
+    OnControlRequest(id, request);
     return;
   }
-  if (faults.swallow || server->ConnectionOf(id) < faults.silent_below)
+  if (faults.swallow ||
+      server->ConnectionOf(id) < faults.first_answered_connection)
     return;
   if (faults.fail_all) {
     server->Respond(id, {500, {}, "failed"});
     return;
   }
-  OnWork(id, std::move(request));
+  OnWorkRequest(id, std::move(request));
 }
 
-void BackendServer::Impl::OnWork(ExchangeId id, HttpRequest request) {
-  if (HeaderOr(request, "Host", options.pool) != options.pool) {
-    server->Respond(id, NotRun(421, "serves another pool"));
+void BackendServer::Impl::OnWorkRequest(ExchangeId id, HttpRequest request) {
+  if (HeaderOrDefault(request, "Host", options.pool) != options.pool) {
+    server->Respond(id, NotRunResponse(421, "serves another pool"));
     return;
   }
   if (running.size() < options.slots) {
@@ -139,7 +142,7 @@
     return;
   }
   if (waiting.size() >= options.queue) {
-    server->Respond(id, NotRun(503, "full"));
+    server->Respond(id, NotRunResponse(503, "full"));
     return;
   }
   waiting.emplace_back(id, std::move(request));
@@ -153,13 +156,13 @@
   }
   ++aborted;
   loop.Cancel(node.mapped().timer);
-  Log("abort", node.mapped().request);
+  LogExecution("abort", node.mapped().request);
   StartNext();
 }
 
 void BackendServer::Impl::Start(ExchangeId id, HttpRequest request) {
   ++started;
-  Log("start", request);
+  LogExecution("start", request);
   Duration run_time = RunTime(request);
   Execution& execution = running[id];
   execution.request = std::move(request);
@@ -169,8 +172,8 @@
 void BackendServer::Impl::Finish(ExchangeId id) {
   auto node = running.extract(id);
   const HttpRequest& request = node.mapped().request;
-  Log("end", request);
-  std::string body = HeaderOr(request, "Request-Id", "") + "\n";
+  LogExecution("end", request);
+  std::string body = HeaderOrDefault(request, "Request-Id", "") + "\n";
   if (faults.truncate > 0 && random.Chance(faults.truncate)) {
     server->Abort(id, "HTTP/1.1 200 OK\r\nContent-Length: 4096\r\n\r\n" + body);
   } else {
@@ -200,19 +203,20 @@
   return Microseconds(micros);
 }
 
-void BackendServer::Impl::Log(std::string_view event,
-                              const HttpRequest& request) {
+void BackendServer::Impl::LogExecution(std::string_view event,
+                                       const HttpRequest& request) {
   if (!log)
     return;
   std::fprintf(
       log.get(), "%lld %.*s %s %s %s\n", static_cast<long long>(UnixMicros()),
       static_cast<int>(event.size()), event.data(), options.pool.c_str(),
-      HeaderOr(request, "Request-Id", "-").c_str(),
-      HeaderOr(request, "Idempotency-Key", "-").c_str());
+      HeaderOrDefault(request, "Request-Id", "-").c_str(),
+      HeaderOrDefault(request, "Idempotency-Key", "-").c_str());
   std::fflush(log.get());
 }
 
-void BackendServer::Impl::OnControl(ExchangeId id, const HttpRequest& request) {
+void BackendServer::Impl::OnControlRequest(ExchangeId id,
+                                           const HttpRequest& request) {
   std::string_view operation =
       std::string_view(request.target).substr(kControlPath.size());
   if (operation == "stats" || operation == "status") {
@@ -240,19 +244,20 @@
 }
 
 void BackendServer::Impl::SetFaults(const json::object& body) {
-  auto flag = [&body](const char* name) {
+  auto read_flag = [&body](const char* name) {
     const json::value* value = body.if_contains(name);
     return value && value->is_bool() && value->get_bool();
   };
-  BackendFaults next;
-  next.fail_all = flag("fail_all");
-  next.swallow = flag("swallow");
-  next.leaving = flag("leaving");
+  BackendFaults new_faults;
+  new_faults.fail_all = read_flag("fail_all");
+  new_faults.swallow = read_flag("swallow");
+  new_faults.leaving = read_flag("leaving");
   if (const json::value* truncate = body.if_contains("truncate"))
-    next.truncate = truncate->to_number<double>();
-  next.silent_below =
-      flag("silence_open") ? server->next_connection() : faults.silent_below;
-  faults = next;
+    new_faults.truncate = truncate->to_number<double>();
+  new_faults.first_answered_connection = read_flag("silence_open")
+                                             ? server->next_connection()
+                                             : faults.first_answered_connection;
+  faults = new_faults;
 }
 
 void BackendServer::Impl::Reboot(ExchangeId id) {
@@ -262,7 +267,7 @@
   }
   ++reboots;
   server->Respond(id, {200, {}, "rebooting\n"});
-  // The answer is written before the server goes away.
+  // The delay lets the answer reach the socket before the server closes it.
   loop.RunAfter(Milliseconds(5), [this] {
     server = nullptr;
     faults = {};
--- a/radishmoor/standins/history.cc
+++ b/radishmoor/standins/history.cc
@@ -10,30 +10,32 @@
 namespace radishmoor {
 namespace {
 
-constexpr char kNone[] = "-";
+constexpr char kAbsent[] = "-";
 
-struct RunCount {
+struct ExecutionCount {
   uint64_t starts = 0;
   uint64_t ends = 0;
 };
 
-using RunCounts = std::map<std::string, RunCount>;
+using ExecutionCounts = std::map<std::string, ExecutionCount>;
 
-std::string OrNone(const std::string& text) {
-  return text.empty() ? kNone : text;
+std::string OrAbsent(const std::string& text) {
+  return text.empty() ? kAbsent : text;
 }
 
-void Count(RunCounts& counts, const std::string& id, const std::string& event) {
-  if (id == kNone)
+void CountEvent(ExecutionCounts& counts,
+                const std::string& id,
+                const std::string& event) {
+  if (id == kAbsent)
     return;
-  RunCount& count = counts[id];
+  ExecutionCount& count = counts[id];
   if (event == "start")
     ++count.starts;
   if (event == "end")
     ++count.ends;
 }
 
-uint64_t Starts(const RunCounts& counts, const std::string& id) {
+uint64_t StartCount(const ExecutionCounts& counts, const std::string& id) {
   auto it = counts.find(id);
   return it == counts.end() ? 0 : it->second.starts;
 }
@@ -61,10 +63,10 @@
 }  // namespace
 
 void WriteCall(std::ostream& out, const CallRecord& call) {
-  out << call.request_id << ' ' << OrNone(call.key) << ' '
-      << OrNone(call.service) << ' ' << call.long_running << ' '
+  out << call.request_id << ' ' << OrAbsent(call.key) << ' '
+      << OrAbsent(call.service) << ' ' << call.long_running << ' '
       << static_cast<int>(call.result) << ' ' << call.status << ' '
-      << OrNone(call.reason) << ' ' << OrNone(call.answered_id) << ' '
+      << OrAbsent(call.reason) << ' ' << OrAbsent(call.answered_id) << ' '
       << call.start_us << ' ' << call.latency_us << '\n';
 }
 
@@ -91,24 +93,25 @@
   std::string line;
   while (std::getline(in, line)) {
     std::istringstream fields(line);
-    ExecutionRecord run;
-    fields >> run.unix_us >> run.event >> run.pool >> run.request_id >> run.key;
+    ExecutionRecord execution;
+    fields >> execution.unix_us >> execution.event >> execution.pool >>
+        execution.request_id >> execution.key;
     if (!fields)
       throw std::runtime_error("bad execution log line: " + line);
-    executions.push_back(std::move(run));
+    executions.push_back(std::move(execution));
   }
   return executions;
 }
 
 HistoryReport CheckHistory(std::span<const CallRecord> calls,
                            std::span<const ExecutionRecord> executions) {
-  RunCounts by_request;
-  RunCounts by_key;
+  ExecutionCounts by_request;
+  ExecutionCounts by_key;
   std::map<std::string, std::string> key_of_request;
-  for (const ExecutionRecord& run : executions) {
-    Count(by_request, run.request_id, run.event);
-    Count(by_key, run.key, run.event);
-    key_of_request[run.request_id] = run.key;
+  for (const ExecutionRecord& execution : executions) {
+    CountEvent(by_request, execution.request_id, execution.event);
+    CountEvent(by_key, execution.key, execution.event);
+    key_of_request[execution.request_id] = execution.key;
   }
   HistoryReport report;
   for (const auto& [key, count] : by_key) {
@@ -126,20 +129,20 @@
                                   " has no outcome");
     }
     if (call.result == CallResult::kNotRun &&
-        Starts(by_request, call.request_id) > 0) {
+        StartCount(by_request, call.request_id) > 0) {
       report.violations.push_back("call " + call.request_id +
                                   " was refused as not-run but started");
     }
     if (call.result != CallResult::kCompleted)
       continue;
-    bool own =
+    bool answers_this_call =
         call.answered_id == call.request_id ||
-        (call.key != kNone && key_of_request[call.answered_id] == call.key);
-    if (!own) {
+        (call.key != kAbsent && key_of_request[call.answered_id] == call.key);
+    if (!answers_this_call) {
       report.violations.push_back("call " + call.request_id +
                                   " got the answer of " + call.answered_id);
     }
-    if (!executions.empty() && Starts(by_request, call.answered_id) == 0) {
+    if (!executions.empty() && StartCount(by_request, call.answered_id) == 0) {
       report.violations.push_back("call " + call.request_id +
                                   " completed but never started");
     }
--- a/radishmoor/standins/load_generator.cc
+++ b/radishmoor/standins/load_generator.cc
@@ -12,8 +12,9 @@
 namespace radishmoor {
 namespace {
 
-constexpr Duration kLostAfter = Seconds(5);
-constexpr size_t kRecentKeys = 64;
+// A call without an answer this long after its deadline is lost.
+constexpr Duration kLostCallGrace = Seconds(5);
+constexpr size_t kMaxRecentKeys = 64;
 
 struct Call {
   CallRecord record;
@@ -22,18 +23,19 @@
   TimerId timer = 0;
 };
 
-// A UUID version 7 (RFC 9562): 48 bits of Unix milliseconds, then random bits.
+// Returns a UUID of version 7 (RFC 9562): 48 bits of Unix time in milliseconds,
+// then random bits.
 std::string MakeKey(WallMillis wall, Random& random) {
   uint64_t time = static_cast<uint64_t>(wall);
-  uint64_t a = random.Next();
-  uint64_t b = random.Next();
+  uint64_t random_a = random.Next();
+  uint64_t random_b = random.Next();
   char text[37];
   std::snprintf(text, sizeof(text), "%08x-%04x-7%03x-%04x-%012llx",
                 static_cast<unsigned>(time >> 16),
                 static_cast<unsigned>(time & 0xffff),
-                static_cast<unsigned>(a & 0xfff),
-                static_cast<unsigned>(0x8000 | ((a >> 12) & 0x3fff)),
-                static_cast<unsigned long long>(b & 0xffffffffffff));
+                static_cast<unsigned>(random_a & 0xfff),
+                static_cast<unsigned>(0x8000 | ((random_a >> 12) & 0x3fff)),
+                static_cast<unsigned long long>(random_b & 0xffffffffffff));
   return text;
 }
 
@@ -68,7 +70,7 @@
                  },
              .on_closed = [this](ConnectionId id) { std::erase(idle, id); }}) {}
 
-  void Arrive();
+  void OnArrival();
   Call MakeCall();
   void Submit(Call call);
   void OnOpened(ConnectionId id);
@@ -91,7 +93,7 @@
   std::function<void(std::vector<CallRecord>)> done;
 };
 
-void LoadGenerator::Impl::Arrive() {
+void LoadGenerator::Impl::OnArrival() {
   if (loop.now() - start >= options.duration) {
     arrivals_ended = true;
     FinishIfDone();
@@ -99,7 +101,7 @@
   }
   Submit(MakeCall());
   Duration mean = Microseconds(static_cast<int64_t>(1e6 / options.rate));
-  loop.RunAfter(random.Exponential(mean), [this] { Arrive(); });
+  loop.RunAfter(random.Exponential(mean), [this] { OnArrival(); });
 }
 
 Call LoadGenerator::Impl::MakeCall() {
@@ -128,13 +130,14 @@
                         : MakeKey(loop.wall_now(), random);
     call.request.headers.emplace_back("Idempotency-Key", record.key);
     call.request.body = "entry " + record.key;
-    // A repeat goes to the service of the first call.
+    // A key is repeated only at the service that got it first. Only keys of
+    // services[0] are remembered, so a repeat goes there.
     if (repeat) {
       record.service = options.services[0];
       call.request.target = "/" + record.service + "/entry";
     } else if (record.service == options.services[0]) {
       recent_keys.push_back(record.key);
-      if (recent_keys.size() > kRecentKeys)
+      if (recent_keys.size() > kMaxRecentKeys)
         recent_keys.erase(recent_keys.begin());
     }
   }
@@ -144,8 +147,8 @@
 void LoadGenerator::Impl::Submit(Call call) {
   call.started = loop.now();
   call.record.start_us = (call.started - start).count();
-  Duration limit =
-      kLostAfter +
+  Duration loss_timeout =
+      kLostCallGrace +
       (call.record.long_running ? options.long_deadline : options.deadline);
   bool reuse = !idle.empty();
   if (!reuse && client.connection_count() >= options.max_connections) {
@@ -157,7 +160,7 @@
   ConnectionId id = reuse ? idle.back() : ConnectionId{next_connection++};
   if (reuse)
     idle.pop_back();
-  call.timer = loop.RunAfter(limit, [this, id] {
+  call.timer = loop.RunAfter(loss_timeout, [this, id] {
     client.Close(id);
     Finish(id, CallResult::kLost);
   });
@@ -215,7 +218,7 @@
 void LoadGenerator::Start(std::function<void(std::vector<CallRecord>)> done) {
   impl_->done = std::move(done);
   impl_->start = impl_->loop.now();
-  impl_->Arrive();
+  impl_->OnArrival();
 }
 
 }  // namespace radishmoor
--- a/radishmoor/standins/load_generator.h
+++ b/radishmoor/standins/load_generator.h
@@ -1,11 +1,11 @@
-// Open-loop load: requests arrive by a Poisson process whatever the answers do,
-// and every call is recorded.
+// Open-loop load generator: calls arrive as a Poisson process, independent of
+// the answers to earlier calls, and each call is recorded.
 //
 //   LoadGenerator load(loop, options);
 //   load.Start([&](std::vector<CallRecord> calls) { ... });
 //
-// Bounded in rate, duration and connections; memory is bounded by rate *
-// duration records.
+// Memory grows by one record for each call, so to about rate * duration
+// records.
 
 #ifndef RADISHMOOR_STANDINS_LOAD_GENERATOR_H_
 #define RADISHMOOR_STANDINS_LOAD_GENERATOR_H_
@@ -25,16 +25,18 @@
 
 struct LoadOptions {
   Endpoint target;
-  std::vector<std::string> services;
-  double rate = 100;  // Calls a second over all services.
-  Duration duration = Seconds(10);
-  Duration run_time = Milliseconds(20);
-  double long_share = 0.015;  // Calls that run long_factor times longer.
-  double long_factor = 100;
-  double keyed_share = 0.2;    // Non-idempotent calls, each with a key.
-  double repeat_share = 0.05;  // Keyed calls that repeat a recent key.
-  Duration deadline = Seconds(2);
-  Duration long_deadline = Seconds(20);
+  std::vector<std::string> services;     // Each call picks one at random.
+  double rate = 100;                     // Calls per second over all services.
+  Duration duration = Seconds(10);       // Calls arrive for this long.
+  Duration run_time = Milliseconds(20);  // Of a short call, on the server.
+  double long_share = 0.015;  // Share of the calls without a key that are long.
+  double long_factor = 100;   // A long call runs for long_factor * run_time.
+  double keyed_share = 0.2;   // Share of calls with an idempotency key.
+  double repeat_share = 0.05;  // Share of keyed calls that repeat a recent key.
+  Duration deadline = Seconds(2);        // Of a short call.
+  Duration long_deadline = Seconds(20);  // Of a long call.
+  // A call that would need one more connection is recorded as not run, with the
+  // reason "load-connection-limit".
   size_t max_connections = 2000;
   uint64_t seed = 1;
 };
@@ -44,8 +46,9 @@
   LoadGenerator(EventLoop& loop, LoadOptions options);
   ~LoadGenerator();
 
-  // Calls `done` once, when every call has its result or is lost: no answer
-  // within its deadline and 5 s.
+  // Starts the load. Calls `done` once, after the last arrival and when each
+  // call has a result; a call without an answer 5 s after its deadline has the
+  // result kLost.
   void Start(std::function<void(std::vector<CallRecord>)> done);
 
   struct Impl;
--- a/radishmoor/standins/platform_server.cc
+++ b/radishmoor/standins/platform_server.cc
@@ -66,9 +66,9 @@
   void OnStoreRequest(ExchangeId id, const HttpRequest& request);
   void SetFaults(const json::object& body);
   void SetHosts(const json::object& body);
-  void Forward(ExchangeId id,
-               std::string_view operation,
-               const json::object& body);
+  void ForwardOperation(ExchangeId id,
+                        std::string_view operation,
+                        const json::object& body);
   HttpResponse Stats() const;
 
   EventLoop& loop;
@@ -77,9 +77,9 @@
   MemoryTable table;
   Faults faults;
   uint64_t requests = 0;
-  // Largest key carried out for an operation on a host.
-  using OperationKey = std::pair<std::string, std::string>;
-  std::map<OperationKey, uint64_t> done_keys;
+  using OperationKey = std::pair<std::string, std::string>;  // Operation, host.
+  // The largest key of an operation that succeeded on the host.
+  std::map<OperationKey, uint64_t> last_completed_keys;
   HttpServer server;
 };
 
@@ -108,8 +108,8 @@
   const json::object& body = parsed.as_object();
   constexpr std::string_view kOperations = "/operations/";
   if (request.target.starts_with(kOperations)) {
-    Forward(id, std::string_view(request.target).substr(kOperations.size()),
-            body);
+    ForwardOperation(
+        id, std::string_view(request.target).substr(kOperations.size()), body);
     return;
   }
   if (request.target == "/faults") {
@@ -144,28 +144,31 @@
 }
 
 void PlatformServer::Impl::SetFaults(const json::object& body) {
-  Faults next;
-  next.mode = ModeFromName(body.at("mode").as_string());
+  Faults new_faults;
+  new_faults.mode = ModeFromName(body.at("mode").as_string());
   if (const json::value* delay = body.if_contains("delay_ms"))
-    next.delay = Milliseconds(delay->to_number<int64_t>());
+    new_faults.delay = Milliseconds(delay->to_number<int64_t>());
   if (const json::value* probability = body.if_contains("probability"))
-    next.probability = probability->to_number<double>();
-  faults = next;
+    new_faults.probability = probability->to_number<double>();
+  faults = new_faults;
 }
 
 void PlatformServer::Impl::SetHosts(const json::object& body) {
-  HttpResponse as_reply{200, {}, json::serialize(body)};
-  auto list =
-      std::get<HostListReply>(DecodeStoreReply(ReadHostList{}, as_reply));
-  const json::value* lag = body.if_contains("lag_ms");
-  Duration delay = Milliseconds(lag ? lag->to_number<int64_t>() : 0);
-  loop.RunAfter(
-      delay, [this, list = std::move(list)] { table.SetHostList(list.hosts); });
+  // A POST body has the format of the answer to a read of the host list.
+  HttpResponse host_list_response{200, {}, json::serialize(body)};
+  auto host_list = std::get<HostListReply>(
+      DecodeStoreReply(ReadHostList{}, host_list_response));
+  const json::value* visibility_lag = body.if_contains("lag_ms");
+  Duration delay =
+      Milliseconds(visibility_lag ? visibility_lag->to_number<int64_t>() : 0);
+  loop.RunAfter(delay, [this, host_list = std::move(host_list)] {
+    table.SetHostList(host_list.hosts);
+  });
 }
 
-void PlatformServer::Impl::Forward(ExchangeId id,
-                                   std::string_view operation,
-                                   const json::object& body) {
+void PlatformServer::Impl::ForwardOperation(ExchangeId id,
+                                            std::string_view operation,
+                                            const json::object& body) {
   auto endpoint = ParseEndpoint(std::string(body.at("address").as_string()));
   if (!endpoint) {
     server.Respond(id, Text(400, "address is not ip:port"));
@@ -176,19 +179,21 @@
   uint64_t key = 0;
   if (const json::value* given = body.if_contains("key"))
     key = given->to_number<uint64_t>();
-  bool once = key != 0 && operation != "status";
-  if (once && key <= done_keys[operation_key]) {
-    server.Respond(id, Text(200, "done before\n"));
+  bool at_most_once = key != 0 && operation != "status";
+  if (at_most_once && key <= last_completed_keys[operation_key]) {
+    server.Respond(id, Text(200,
+                            "an operation with this or a larger key was "
+                            "already carried out\n"));
     return;
   }
   HttpRequest forwarded{
       "POST", "/_standin/" + std::string(operation), {}, json::serialize(body)};
   fetcher.Fetch(
       *endpoint, std::move(forwarded), Seconds(2),
-      [this, id, once, key, operation_key](HttpFetcher::Result result) {
+      [this, id, at_most_once, key, operation_key](HttpFetcher::Result result) {
         if (auto* response = std::get_if<HttpResponse>(&result)) {
-          if (once && response->status == 200)
-            done_keys[operation_key] = key;
+          if (at_most_once && response->status == 200)
+            last_completed_keys[operation_key] = key;
           server.Respond(id, std::move(*response));
           return;
         }
--- a/radishmoor/standins/relay.cc
+++ b/radishmoor/standins/relay.cc
@@ -37,7 +37,7 @@
 
 namespace {
 
-// One relayed connection: the caller's socket and the target's.
+// One relayed connection: the caller's socket (0) and the target's (1).
 class Link : public std::enable_shared_from_this<Link> {
  public:
   Link(tcp::socket caller, std::shared_ptr<Relay::Impl> relay)
@@ -85,43 +85,43 @@
     Pump(1);
   }
 
-  // Moves data from sockets_[from] to the other one.
-  void Pump(size_t from) {
-    sockets_[from].async_read_some(
-        asio::buffer(buffers_[from]),
-        [self = shared_from_this(), from](error_code error, size_t bytes) {
-          self->OnRead(from, error, bytes);
+  // Reads from sockets_[source] and forwards the data to the other socket.
+  void Pump(size_t source) {
+    sockets_[source].async_read_some(
+        asio::buffer(buffers_[source]),
+        [self = shared_from_this(), source](error_code error, size_t bytes) {
+          self->OnRead(source, error, bytes);
         });
   }
 
-  void OnRead(size_t from, error_code error, size_t bytes) {
+  void OnRead(size_t source, error_code error, size_t bytes) {
     if (error) {
       if (!silent_)
         Close();
       return;
     }
     if (silent_) {
-      Pump(from);
+      Pump(source);
       return;
     }
     if (relay_->delay == Duration::zero()) {
-      Forward(from, bytes);
+      Forward(source, bytes);
       return;
     }
     relay_->loop.RunAfter(relay_->delay,
-                          [self = shared_from_this(), from, bytes] {
-                            self->Forward(from, bytes);
+                          [self = shared_from_this(), source, bytes] {
+                            self->Forward(source, bytes);
                           });
   }
 
-  void Forward(size_t from, size_t bytes) {
+  void Forward(size_t source, size_t bytes) {
     asio::async_write(
-        sockets_[1 - from], asio::buffer(buffers_[from].data(), bytes),
-        [self = shared_from_this(), from](error_code error, size_t) {
+        sockets_[1 - source], asio::buffer(buffers_[source].data(), bytes),
+        [self = shared_from_this(), source](error_code error, size_t) {
           if (error) {
             self->Close();
           } else {
-            self->Pump(from);
+            self->Pump(source);
           }
         });
   }
--- a/radishmoor/standins/relay.h
+++ b/radishmoor/standins/relay.h
@@ -1,12 +1,15 @@
-// TCP relay: plays the platform's load balancer, and cuts links in tests.
+// TCP relay, for tests and trials: stands in for the platform's load balancer,
+// and delays, silences or cuts connections.
 //
 //   Relay relay(loop);
 //   Endpoint bound = relay.Listen({"127.0.0.1", 0});
-//   relay.SetTargets({entry1, entry2});     // new connections go round robin
+//   relay.SetTargets({entry1, entry2});
 //   relay.SetMode(RelayMode::kSilent);
 //
-// A connection whose target refuses is tried on the next target, so that a
-// stopped entry host costs callers nothing.
+// Each new connection goes to the next target in turn. If a target refuses the
+// connection, the next one is tried, so a stopped entry host does not make a
+// caller's connection fail. If all targets refuse, the caller's connection is
+// closed.
 
 #ifndef RADISHMOOR_STANDINS_RELAY_H_
 #define RADISHMOOR_STANDINS_RELAY_H_
@@ -23,11 +26,13 @@
 
 enum class RelayMode {
   kForward,
-  kRefuse,  // New connections are closed; open ones are cut.
-  // Open connections stay open and their bytes are dropped in both directions;
-  // new connections are accepted and behave the same.
+  // Closes the open connections, and each new one right after it was accepted.
+  kRefuse,
+  // Keeps the open connections, accepts new ones, and drops the bytes of all of
+  // them in both directions.
   kSilent,
-  // Connections that are open now drop all bytes; new ones work.
+  // Drops the bytes of the connections that are open at the call of SetMode;
+  // connections that are opened later work.
   kForgetOpen,
 };
 
@@ -36,10 +41,17 @@
   explicit Relay(EventLoop& loop);
   ~Relay();
 
+  // Starts to accept connections and returns the bound address; for port 0 the
+  // kernel chooses the port. Throws std::runtime_error if the address cannot be
+  // bound.
   Endpoint Listen(const Endpoint& endpoint);
+  // Applies to connections that are accepted from now on.
   void SetTargets(std::vector<Endpoint> targets);
+  // A connection that kSilent or kForgetOpen has silenced stays silent in later
+  // modes; kRefuse closes it.
   void SetMode(RelayMode mode);
-  // Delay added to each piece of data in each direction.
+  // Delays each chunk of up to 16 KB in each direction, before the next chunk
+  // of that direction is read.
   void SetDelay(Duration delay);
 
   size_t connection_count() const;
--- a/radishmoor/standins/testing/call_checks.h
+++ b/radishmoor/standins/testing/call_checks.h
@@ -1,5 +1,5 @@
-// Checks and counts over callers' records and execution logs, for the tests
-// with real processes.
+// Checks and counts of the callers' call records and of the execution logs, for
+// tests that run a Site of real processes.
 
 #ifndef RADISHMOOR_STANDINS_TESTING_CALL_CHECKS_H_
 #define RADISHMOOR_STANDINS_TESTING_CALL_CHECKS_H_
@@ -18,7 +18,8 @@
 
 using Calls = std::vector<CallRecord>;
 
-// Bounds the tail of a test: long calls of 400 ms instead of 2 s.
+// Returns a load whose long calls run for 400 ms instead of 2 s, so that a test
+// does not wait long for the last calls.
 inline LoadOptions ShortLoad(double rate, Duration duration) {
   LoadOptions options;
   options.rate = rate;
@@ -29,7 +30,7 @@
   return options;
 }
 
-inline bool Keyed(const CallRecord& call) {
+inline bool IsKeyed(const CallRecord& call) {
   return !call.key.empty() && call.key != "-";
 }
 
@@ -44,20 +45,22 @@
          static_cast<double>(std::max<size_t>(calls.size(), 1));
 }
 
-inline Calls Where(const Calls& calls,
-                   const std::function<bool(const CallRecord&)>& condition) {
+inline Calls CallsWhere(
+    const Calls& calls,
+    const std::function<bool(const CallRecord&)>& condition) {
   Calls chosen;
   std::copy_if(calls.begin(), calls.end(), std::back_inserter(chosen),
                condition);
   return chosen;
 }
 
-// "reason status result: count" of all calls that did not complete.
-inline std::string Summary(const Calls& calls) {
+// Returns the number of calls, the number of completed ones, and the number of
+// others for each kind of call, reason, status and CallResult.
+inline std::string SummarizeFailures(const Calls& calls) {
   std::map<std::string, int> counts;
   for (const CallRecord& call : calls) {
     if (call.result != CallResult::kCompleted) {
-      ++counts[(Keyed(call) ? "keyed " : "idempotent ") + call.reason + " " +
+      ++counts[(IsKeyed(call) ? "keyed " : "idempotent ") + call.reason + " " +
                std::to_string(call.status) + " result " +
                std::to_string(static_cast<int>(call.result))];
     }
@@ -70,8 +73,8 @@
   return text;
 }
 
-inline void CheckClean(const Site& site, const Calls& calls) {
-  HistoryReport report = site.Check(calls);
+inline void CheckNoViolations(const Site& site, const Calls& calls) {
+  HistoryReport report = site.CheckCalls(calls);
   for (const std::string& violation : report.violations)
     UNSCOPED_INFO(violation);
   CHECK(report.violations.empty());
@@ -84,10 +87,10 @@
   return site.loop.wall_now() * 1000;
 }
 
-// Starts on a backend server after `unix_us`.
-inline size_t StartsAfter(const Site& site,
-                          const BackendNode& backend,
-                          int64_t unix_us) {
+// Returns the number of starts on a backend server after `unix_us`.
+inline size_t StartCountAfter(const Site& site,
+                              const BackendProcess& backend,
+                              int64_t unix_us) {
   auto runs = site.Executions(backend);
   return static_cast<size_t>(
       std::count_if(runs.begin(), runs.end(), [&](const ExecutionRecord& run) {
@@ -95,19 +98,20 @@
       }));
 }
 
-inline size_t Aborts(const Site& site) {
+inline size_t AbortCount(const Site& site) {
   auto runs = site.Executions();
   return static_cast<size_t>(std::count_if(
       runs.begin(), runs.end(),
       [](const ExecutionRecord& run) { return run.event == "abort"; }));
 }
 
-// True when every entry process has the accepted configuration in force.
-inline bool AllInForce(Site& site) {
-  auto head = static_cast<int64_t>(site.Config().version);
+// Returns true if the accepted configuration is in force in every entry
+// process.
+inline bool AllEntriesUpToDate(Site& site) {
+  auto head = static_cast<int64_t>(site.AcceptedConfig().version);
   return std::all_of(site.entries.begin(), site.entries.end(),
-                     [&](const MemberNode& entry) {
-                       return site.Status(entry, "in_force") == head;
+                     [&](const MemberProcess& entry) {
+                       return site.StatusField(entry, "in_force") == head;
                      });
 }
 
--- a/radishmoor/standins/testing/capacity_bench.cc
+++ b/radishmoor/standins/testing/capacity_bench.cc
@@ -1,13 +1,16 @@
-// What a whole site without caller load costs each process, at several sizes.
-// All processes of the site run in virtual time on one in-memory table, with
-// the real encodings of their messages.
+// Measures what a process of a site costs without load from callers, for sites
+// of several sizes: processor time, messages, bytes and memory by role. All
+// processes of the site are simulated in virtual time on one in-memory table,
+// with the real encodings of their messages.
 //
 //   capacity_bench [--json] [--vary hosts|pools|zones|entries|changes|design]
 //                  [--warm-up SECONDS] [--window SECONDS]
 //
-// Processor time is that of the decision classes and of the encodings; system
-// calls are not part of it (tools/control_cost measures whole processes). State
-// is what the destruction of a process's objects frees.
+// The warm-up, after which the measurement starts, and the measured window are
+// in virtual seconds. Processor time is that of EntryCore or ControlCore
+// ("core") and of encoding and decoding messages ("codec"); it excludes system
+// calls (tools/control_cost measures whole processes). The state of a process
+// is the number of bytes that the destruction of its core frees.
 
 #include <malloc.h>
 
@@ -36,6 +39,7 @@
 
 namespace {
 
+// Bytes freed by operator delete since the last reset.
 uint64_t freed_bytes = 0;
 
 }  // namespace
@@ -59,30 +63,36 @@
 namespace radishmoor {
 namespace {
 
-constexpr Duration kLatency = Milliseconds(1);  // One way.
+constexpr Duration kOneWayLatency = Milliseconds(1);
+// Shortest time to the next tick of a process that asks for an earlier one.
 constexpr Duration kMinWakeDelay = Microseconds(200);
-constexpr Duration kProbePeriod = Seconds(2);  // control_service.cc
-constexpr uint64_t kProbeBytes = 200;          // OPTIONS and its answer.
-constexpr uint64_t kFrameBytes = 4;
-constexpr uint64_t kHttpBytes = 40;  // Start line, length and blank line.
-// A process that starts is this far behind and reads the snapshot.
+constexpr Duration kProbePeriod = Seconds(2);  // As in control_service.cc.
+// Estimated size of an OPTIONS request and its answer.
+constexpr uint64_t kProbeExchangeBytes = 200;
+// Length prefix of each message between processes.
+constexpr uint64_t kFrameHeaderBytes = 4;
+// Estimated size of the start line, the Content-Length header and the blank
+// line.
+constexpr uint64_t kHttpOverheadBytes = 40;
+// Version of the configuration at the start. It is so far above 0 that a
+// starting process reads the snapshot instead of the deltas.
 constexpr ConfigVersion kFirstVersion = 2 * kSnapshotInterval;
 
-double CpuNow() {
+double ThreadCpuSeconds() {
   timespec t;
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &t);
   return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_nsec) / 1e9;
 }
 
-struct Size {
+struct SiteSize {
   int hosts = 50;
   int pools = 5;
   int zones = 3;
   int entries_per_zone = 3;
-  int changes = 0;  // During the window.
+  int changes = 0;  // Configuration changes during the window.
 };
 
-enum Kind : uint8_t {
+enum MessageKind : uint8_t {
   kHello,
   kHeartbeat,
   kConfig,
@@ -95,31 +105,32 @@
   kObject,
   kHostList,
   kProbe,
-  kKinds
+  kMessageKindCount
 };
-constexpr std::array<const char*, kKinds> kKindNames = {
+constexpr std::array<const char*, kMessageKindCount> kMessageKindNames = {
     "hello",       "heartbeats", "config",       "slot demands",
     "slot grants", "row reads",  "member scans", "lease scans",
     "commits",     "objects",    "host list",    "health probes"};
 
-// Sums over the processes of one role. Bytes are those sent and received.
+// Sums over all processes of one role. Messages and bytes count what is sent
+// and what is received.
 struct RoleCost {
   int processes = 0;
-  std::array<uint64_t, kKinds> messages{};
-  std::array<uint64_t, kKinds> bytes{};
-  double cpu_core = 0;
-  double cpu_codec = 0;
+  std::array<uint64_t, kMessageKindCount> messages{};
+  std::array<uint64_t, kMessageKindCount> bytes{};
+  double decision_cpu_s = 0;  // In EntryCore or ControlCore.
+  double codec_cpu_s = 0;     // In encoding and decoding of messages.
   uint64_t state_bytes = 0;
 };
 
-uint64_t WireBytes(const HttpHeaders& headers, const std::string& body) {
-  uint64_t bytes = kHttpBytes + body.size();
+uint64_t HttpMessageBytes(const HttpHeaders& headers, const std::string& body) {
+  uint64_t bytes = kHttpOverheadBytes + body.size();
   for (const auto& [name, value] : headers)
     bytes += name.size() + value.size() + 4;
   return bytes;
 }
 
-Kind KindOf(const StoreRequest& request) {
+MessageKind MessageKindOf(const StoreRequest& request) {
   if (const auto* scan = std::get_if<ScanRows>(&request))
     return scan->prefix == kMemberPrefix ? kMemberScan : kLeaseScan;
   if (std::holds_alternative<ReadRows>(request))
@@ -129,7 +140,7 @@
   return std::holds_alternative<ReadHostList>(request) ? kHostList : kObject;
 }
 
-FleetState StateOf(const Size& size) {
+FleetState MakeFleetState(const SiteSize& size) {
   FleetState state;
   state.version = kFirstVersion;
   for (int p = 0; p < size.pools; ++p) {
@@ -146,7 +157,7 @@
                    std::to_string(h % 250) + ":8080";
     host.cores = 32;
     host.memory_gb = 64;
-    // Each pool has hosts in as many zones as it has hosts.
+    // Spreads the hosts of a pool over as many zones as possible.
     host.pool = host.wanted_pool =
         PoolId("service-" + std::to_string((h / size.zones + h) % size.pools));
     state.hosts[host.id] = host;
@@ -154,9 +165,10 @@
   return state;
 }
 
-class Site {
+class SimulatedSite {
  public:
-  explicit Site(const Size& size) : size_(size), state_(StateOf(size)) {
+  explicit SimulatedSite(const SiteSize& size)
+      : size_(size), state_(MakeFleetState(size)) {
     table_.Handle(
         PutObject{ConfigSnapshotKey(state_.version), EncodeState(state_)});
     Transaction first{.operation = {1}};
@@ -177,20 +189,24 @@
   }
 
   void Run(Duration warm_up, Duration window) {
-    for (size_t p = 0; p < processes_.size(); ++p) {
-      Wake(p, now_ + Milliseconds(static_cast<int64_t>(p * 37 % 1000)));
-      if (processes_[p].control)
-        Probe(p);
+    for (size_t process_index = 0; process_index < processes_.size();
+         ++process_index) {
+      ScheduleWake(
+          process_index,
+          now_ + Milliseconds(static_cast<int64_t>(process_index * 37 % 1000)));
+      if (processes_[process_index].control)
+        ProbeHosts(process_index);
     }
     RunUntil(now_ + warm_up);
     measuring_ = true;
     for (int c = 0; c < size_.changes; ++c)
-      At(now_ + window * c / size_.changes, [this] { Change(); });
+      ScheduleAt(now_ + window * c / size_.changes,
+                 [this] { CommitPoolChange(); });
     RunUntil(now_ + window);
     measuring_ = false;
-    window_ = ToSeconds(window);
+    window_s_ = ToSeconds(window);
     for (Process& process : processes_) {
-      RoleCost& cost = Cost(process);
+      RoleCost& cost = CostOf(process);
       freed_bytes = 0;
       process.entry.reset();
       process.control.reset();
@@ -200,22 +216,25 @@
 
   const RoleCost& entry() const { return roles_[0]; }
   const RoleCost& control() const { return roles_[1]; }
-  double window() const { return window_; }
-  double reads_per_s() const { return static_cast<double>(reads_) / window_; }
-  double writes_per_s() const { return static_cast<double>(writes_) / window_; }
-  double platform_cpu_per_s() const { return platform_cpu_ / window_; }
+  double window_s() const { return window_s_; }
+  double reads_per_s() const { return static_cast<double>(reads_) / window_s_; }
+  double writes_per_s() const {
+    return static_cast<double>(writes_) / window_s_;
+  }
+  double store_cpu_per_s() const { return store_cpu_s_ / window_s_; }
   size_t table_rows() const { return table_.row_count(); }
 
-  // One `radishmoorctl plan`: reads the configuration and plans a change.
-  void OperatorPlan(bool json) {
+  // Prints the cost of one `radishmoorctl plan`, which reads the configuration
+  // and plans a change of one pool.
+  void MeasureOperatorPlan(bool json) {
     uint64_t bytes = 0;
     uint64_t requests = 0;
-    double start = CpuNow();
+    double start = ThreadCpuSeconds();
     LoadedConfig loaded = LoadConfig([&](const StoreRequest& request) {
       HttpRequest sent = EncodeStoreRequest(request);
       HttpResponse received = EncodeStoreReply(table_.Handle(request));
-      bytes += WireBytes(sent.headers, sent.body) +
-               WireBytes(received.headers, received.body);
+      bytes += HttpMessageBytes(sent.headers, sent.body) +
+               HttpMessageBytes(received.headers, received.body);
       ++requests;
       return DecodeStoreReply(request, received);
     });
@@ -223,7 +242,7 @@
     inventory.pools.begin()->second.queue_limit = 1;
     auto plan =
         std::make_unique<ConfigPlan>(PlanInventory(loaded.state, inventory));
-    double cpu = CpuNow() - start;
+    double cpu = ThreadCpuSeconds() - start;
     freed_bytes = 0;
     plan.reset();
     inventory = {};
@@ -243,7 +262,7 @@
     MemberId id;
     std::unique_ptr<EntryCore> entry;
     std::unique_ptr<ControlCore> control;
-    Time wake = kTimeMax;
+    Time wake = kTimeMax;  // Time of the scheduled tick.
   };
   struct Event {
     Time at;
@@ -291,17 +310,20 @@
   WallMillis wall() const {
     return 1'700'000'000'000 + (now_ - kTimeZero).count() / 1000;
   }
-  RoleCost& Cost(const Process& process) {
+  RoleCost& CostOf(const Process& process) {
     return roles_[process.control ? 1 : 0];
   }
-  void Count(size_t p, Kind kind, uint64_t bytes, uint64_t messages = 1) {
+  void Count(size_t process_index,
+             MessageKind kind,
+             uint64_t bytes,
+             uint64_t messages = 1) {
     if (!measuring_)
       return;
-    Cost(processes_[p]).messages[kind] += messages;
-    Cost(processes_[p]).bytes[kind] += bytes;
+    CostOf(processes_[process_index]).messages[kind] += messages;
+    CostOf(processes_[process_index]).bytes[kind] += bytes;
   }
 
-  void At(Time at, std::function<void()> run) {
+  void ScheduleAt(Time at, std::function<void()> run) {
     events_.push({at, next_sequence_++, std::move(run)});
   }
   void RunUntil(Time end) {
@@ -314,107 +336,121 @@
     now_ = end;
   }
 
-  // Runs `call` on the process's core and carries out its actions.
+  // Runs `call` on the core, carries out the actions that it returns, and
+  // schedules the next tick of the process.
   template <typename Core, typename F>
-  void OnCore(size_t p, Core& core, const F& call) {
-    double start = CpuNow();
+  void CallCore(size_t process_index, Core& core, const F& call) {
+    double start = ThreadCpuSeconds();
     auto actions = call(core);
     Time wake = core.next_wake();
     if (measuring_)
-      Cost(processes_[p]).cpu_core += CpuNow() - start;
+      CostOf(processes_[process_index]).decision_cpu_s +=
+          ThreadCpuSeconds() - start;
     for (const auto& action : actions)
-      std::visit([this, p](const auto& a) { this->On(p, a); }, action);
-    if (wake < processes_[p].wake)
-      Wake(p, std::max(wake, now_ + kMinWakeDelay));
+      std::visit([this, process_index](
+                     const auto& a) { this->PerformAction(process_index, a); },
+                 action);
+    if (wake < processes_[process_index].wake)
+      ScheduleWake(process_index, std::max(wake, now_ + kMinWakeDelay));
   }
   template <typename F>
-  void WithCore(size_t p, const F& call) {
-    if (processes_[p].entry)
-      OnCore(p, *processes_[p].entry, call);
+  void CallCoreOf(size_t process_index, const F& call) {
+    if (processes_[process_index].entry)
+      CallCore(process_index, *processes_[process_index].entry, call);
     else
-      OnCore(p, *processes_[p].control, call);
+      CallCore(process_index, *processes_[process_index].control, call);
   }
 
-  void Wake(size_t p, Time at) {
-    processes_[p].wake = at;
-    At(at, [this, p, at] {
-      if (processes_[p].wake != at)
+  void ScheduleWake(size_t process_index, Time at) {
+    processes_[process_index].wake = at;
+    ScheduleAt(at, [this, process_index, at] {
+      if (processes_[process_index].wake != at)
         return;
-      processes_[p].wake = kTimeMax;
-      WithCore(p, [this](auto& core) { return core.Tick(now_, wall()); });
+      processes_[process_index].wake = kTimeMax;
+      CallCoreOf(process_index,
+                 [this](auto& core) { return core.Tick(now_, wall()); });
     });
   }
 
-  void Probe(size_t p) {
-    ControlCore& core = *processes_[p].control;
+  void ProbeHosts(size_t process_index) {
+    ControlCore& core = *processes_[process_index].control;
     for (const HostState* host : core.ObservedHosts(now_)) {
-      Count(p, kProbe, kProbeBytes, 2);
+      Count(process_index, kProbe, kProbeExchangeBytes, 2);
       HostObservation seen{host->id, HostHealth::kHealthy, {}, now_};
-      OnCore(p, core, [&](ControlCore& c) {
+      CallCore(process_index, core, [&](ControlCore& c) {
         return c.SetHealth(now_, wall(), {&seen, 1});
       });
     }
-    At(now_ + kProbePeriod, [this, p] { Probe(p); });
+    ScheduleAt(now_ + kProbePeriod,
+               [this, process_index] { ProbeHosts(process_index); });
   }
 
   template <typename Action>
-  void On(size_t, const Action&) {}  // No effect without callers.
+  void PerformAction(size_t, const Action&) {
+    // Other actions concern callers or changes of hosts, which do not occur
+    // here.
+  }
 
-  void On(size_t p, const StoreCall& call) {
-    double start = CpuNow();
+  void PerformAction(size_t process_index, const StoreCall& call) {
+    double start = ThreadCpuSeconds();
     HttpRequest sent = EncodeStoreRequest(call.request);
-    double encoded = CpuNow();
+    double encoded = ThreadCpuSeconds();
     HttpResponse received =
         EncodeStoreReply(table_.Handle(DecodeStoreRequest(sent)));
-    double answered = CpuNow();
+    double answered = ThreadCpuSeconds();
     StoreReply reply = DecodeStoreReply(call.request, received);
-    double decoded = CpuNow();
-    Kind kind = KindOf(call.request);
-    Count(p, kind,
-          WireBytes(sent.headers, sent.body) + sent.target.size() +
-              WireBytes(received.headers, received.body),
+    double decoded = ThreadCpuSeconds();
+    MessageKind kind = MessageKindOf(call.request);
+    Count(process_index, kind,
+          HttpMessageBytes(sent.headers, sent.body) + sent.target.size() +
+              HttpMessageBytes(received.headers, received.body),
           2);
     if (measuring_) {
-      Cost(processes_[p]).cpu_codec += encoded - start + decoded - answered;
-      platform_cpu_ += answered - encoded;
+      CostOf(processes_[process_index]).codec_cpu_s +=
+          encoded - start + decoded - answered;
+      store_cpu_s_ += answered - encoded;
       bool write =
           kind == kCommit || std::holds_alternative<PutObject>(call.request);
       ++(write ? writes_ : reads_);
     }
-    At(now_ + 2 * kLatency, [this, p, tag = call.tag, reply] {
-      WithCore(p, [&](auto& core) {
-        return core.Handle(now_, wall(), StoreAnswer{tag, reply});
-      });
-    });
+    ScheduleAt(now_ + 2 * kOneWayLatency,
+               [this, process_index, tag = call.tag, reply] {
+                 CallCoreOf(process_index, [&](auto& core) {
+                   return core.Handle(now_, wall(), StoreAnswer{tag, reply});
+                 });
+               });
   }
 
-  void On(size_t p, const SendPeerMessage& send) {
+  void PerformAction(size_t process_index, const SendPeerMessage& send) {
     auto to = by_address_.find(send.address);
-    Process& from = processes_[p];
-    double start = CpuNow();
+    Process& from = processes_[process_index];
+    double start = ThreadCpuSeconds();
     std::string bytes =
         EncodePeerEnvelope({from.id, from.entry->Stamp(wall()), send.message});
     if (measuring_)
-      Cost(from).cpu_codec += CpuNow() - start;
-    auto kind = static_cast<Kind>(send.message.index());
-    Count(p, kind, bytes.size() + kFrameBytes);
+      CostOf(from).codec_cpu_s += ThreadCpuSeconds() - start;
+    auto kind = static_cast<MessageKind>(send.message.index());
+    Count(process_index, kind, bytes.size() + kFrameHeaderBytes);
     if (to == by_address_.end())
       return;  // A control process does not listen.
-    At(now_ + kLatency, [this, kind, p = to->second, bytes] {
-      double decode = CpuNow();
-      auto envelope = DecodePeerEnvelope(bytes);
-      if (measuring_)
-        Cost(processes_[p]).cpu_codec += CpuNow() - decode;
-      Count(p, kind, bytes.size() + kFrameBytes);
-      OnCore(p, *processes_[p].entry, [&](EntryCore& core) {
-        return core.Handle(now_, wall(), envelope->sender, envelope->stamp,
-                           envelope->message);
-      });
-    });
+    ScheduleAt(
+        now_ + kOneWayLatency, [this, kind, process_index = to->second, bytes] {
+          double decode = ThreadCpuSeconds();
+          auto envelope = DecodePeerEnvelope(bytes);
+          if (measuring_)
+            CostOf(processes_[process_index]).codec_cpu_s +=
+                ThreadCpuSeconds() - decode;
+          Count(process_index, kind, bytes.size() + kFrameHeaderBytes);
+          CallCore(process_index, *processes_[process_index].entry,
+                   [&](EntryCore& core) {
+                     return core.Handle(now_, wall(), envelope->sender,
+                                        envelope->stamp, envelope->message);
+                   });
+        });
   }
 
-  // An operator's change of one pool.
-  void Change() {
+  // Commits a change of one pool, as an operator's tool does.
+  void CommitPoolChange() {
     auto rows = std::get<RowsReply>(table_.Handle(ReadRows{{kConfigHeadKey}}));
     ConfigHead head = DecodeHead(rows.rows[0].value);
     ConfigDelta delta;
@@ -427,7 +463,7 @@
         CommitRows{BuildConfigTransaction(delta, rows.rows[0].version, head)});
   }
 
-  Size size_;
+  SiteSize size_;
   FleetState state_;
   MemoryTable table_;
   std::vector<Process> processes_;
@@ -436,11 +472,11 @@
   uint64_t next_sequence_ = 0;
   Time now_ = kTimeZero + Seconds(1000);
   bool measuring_ = false;
-  double window_ = 1;
+  double window_s_ = 1;
   std::array<RoleCost, 2> roles_;
   uint64_t reads_ = 0;
   uint64_t writes_ = 0;
-  double platform_cpu_ = 0;
+  double store_cpu_s_ = 0;
 };
 
 struct RunOptions {
@@ -451,13 +487,13 @@
 
 void PrintRole(const char* name,
                const RoleCost& cost,
-               const Size& size,
-               const Site& site,
+               const SiteSize& size,
+               const SimulatedSite& site,
                bool json) {
-  double per = cost.processes * site.window();
+  double process_seconds = cost.processes * site.window_s();
   uint64_t messages = 0;
   uint64_t bytes = 0;
-  for (int k = 0; k < kKinds; ++k) {
+  for (int k = 0; k < kMessageKindCount; ++k) {
     messages += cost.messages[k];
     bytes += cost.bytes[k];
   }
@@ -469,24 +505,25 @@
               size.hosts, size.pools, size.zones,
               size.zones * size.entries_per_zone, size.changes, name,
               static_cast<double>(cost.state_bytes) / 1e3 / cost.processes,
-              static_cast<double>(messages) / per,
-              static_cast<double>(bytes) / per, cost.cpu_core * 1e3 / per,
-              cost.cpu_codec * 1e3 / per);
+              static_cast<double>(messages) / process_seconds,
+              static_cast<double>(bytes) / process_seconds,
+              cost.decision_cpu_s * 1e3 / process_seconds,
+              cost.codec_cpu_s * 1e3 / process_seconds);
   std::printf(json ? ",\"bytes_by_kind\":{" : "  ");
   bool first = true;
-  for (int k = 0; k < kKinds; ++k) {
+  for (int k = 0; k < kMessageKindCount; ++k) {
     if (cost.bytes[k] == 0)
       continue;
     std::printf(json ? "%s\"%s\":%.0f" : "%s%s %.0f", first ? "" : ", ",
-                kKindNames[static_cast<size_t>(k)],
-                static_cast<double>(cost.bytes[k]) / per);
+                kMessageKindNames[static_cast<size_t>(k)],
+                static_cast<double>(cost.bytes[k]) / process_seconds);
     first = false;
   }
   std::printf(json ? "}}\n" : "\n");
 }
 
-void Measure(const Size& size, const RunOptions& options) {
-  Site site(size);
+void Measure(const SiteSize& size, const RunOptions& options) {
+  SimulatedSite site(size);
   site.Run(options.warm_up, options.window);
   PrintRole("entry", site.entry(), size, site, options.json);
   PrintRole("control", site.control(), size, site, options.json);
@@ -498,12 +535,12 @@
                      "%.3f ms/s of a core, %zu rows\n",
       size.hosts, size.pools, size.zones, size.zones * size.entries_per_zone,
       size.changes, site.reads_per_s(), site.writes_per_s(),
-      site.platform_cpu_per_s() * 1e3, site.table_rows());
-  site.OperatorPlan(options.json);
+      site.store_cpu_per_s() * 1e3, site.table_rows());
+  site.MeasureOperatorPlan(options.json);
   std::fflush(stdout);
 }
 
-const std::map<std::string, std::vector<Size>> kSeries{
+const std::map<std::string, std::vector<SiteSize>> kSiteSizeSeries{
     {"hosts", {{50}, {200}, {400}, {800}, {1100}}},
     {"pools", {{400, 5}, {400, 20}, {400, 59}, {400, 118}}},
     {"zones", {{50, 5, 2, 2}, {50, 5, 4, 2}, {50, 5, 8, 2}, {50, 5, 22, 2}}},
@@ -543,10 +580,10 @@
                 "msg/s", "bytes/s", "core ms/s", "codec ms/s",
                 "bytes/s by kind");
   }
-  for (const auto& [name, sizes] : kSeries) {
+  for (const auto& [name, sizes] : kSiteSizeSeries) {
     if (!vary.empty() && name != vary)
       continue;
-    for (const Size& size : sizes)
+    for (const SiteSize& size : sizes)
       Measure(size, options);
   }
   return 0;
--- a/radishmoor/standins/testing/site_fixture.cc
+++ b/radishmoor/standins/testing/site_fixture.cc
@@ -25,9 +25,9 @@
 namespace {
 
 constexpr Duration kPollPeriod = Milliseconds(5);
-// Start and exit of a process; generous, since the machine may be busy.
-constexpr Duration kProcessLimit = Seconds(20);
-constexpr Duration kReadyLimit = Seconds(20);
+// For the start and the end of a process; long enough for a busy machine.
+constexpr Duration kProcessTimeout = Seconds(20);
+constexpr Duration kReadyTimeout = Seconds(20);
 
 std::string ReadFile(const std::string& path) {
   std::ifstream in(path);
@@ -36,7 +36,8 @@
   return text.str();
 }
 
-// Runs in the child between fork and exec: only async-signal-safe calls.
+// Runs in the child process between fork and exec, so only async-signal-safe
+// calls are allowed.
 [[noreturn]] void ExecChild(const std::string& out,
                             const std::string& err,
                             char* const* argv) {
@@ -45,14 +46,14 @@
   int err_file = open(err.c_str(), O_CREAT | O_WRONLY | O_CLOEXEC, 0600);
   dup2(out_file, STDOUT_FILENO);
   dup2(err_file, STDERR_FILENO);
-  // Asio's sockets are not close-on-exec; one kept by a child would stay open
-  // after this process closes it.
+  // Asio's sockets are not close-on-exec: a copy in the child would keep the
+  // connection open after this process has closed its socket.
   close_range(3, ~0U, 0);
   execv(argv[0], argv);
   _exit(127);
 }
 
-Inventory SmallInventory(const SiteOptions& options) {
+Inventory MakeInventory(const SiteOptions& options) {
   Inventory inventory;
   for (const std::string& pool : options.pools) {
     PoolState& state = inventory.pools[PoolId(pool)];
@@ -85,8 +86,8 @@
   return names;
 }
 
-LoadOptions Complete(const Site& site, LoadOptions options) {
-  options.target = site.callers;
+LoadOptions FillInTargets(const Site& site, LoadOptions options) {
+  options.target = site.callers_endpoint;
   if (options.services.empty()) {
     for (const auto& [id, pool] : site.inventory.pools)
       options.services.push_back(id.str());
@@ -125,7 +126,8 @@
 }
 
 void ChildProcess::Signal(int signal) {
-  // After its exit was collected, the id may belong to another process.
+  // After waitpid has returned the exit code, the process id may belong to
+  // another process.
   if (!exit_code())
     kill(pid_, signal);
 }
@@ -151,12 +153,13 @@
   std::string path =
       (std::filesystem::temp_directory_path() / "radishmoor-XXXXXX").string();
   if (mkdtemp(path.data()) == nullptr)
-    throw std::runtime_error("cannot make a directory for the site");
+    throw std::runtime_error(
+        "cannot create a temporary directory for the site");
   dir_ = path;
   inventory =
-      options_.inventory ? *options_.inventory : SmallInventory(options_);
+      options_.inventory ? *options_.inventory : MakeInventory(options_);
   platform_process_ = Spawn("platform", "radishmoor-platform", {});
-  platform = Addresses(*platform_process_).at(0);
+  platform = PrintedAddresses(*platform_process_).at(0);
   store_ = std::make_unique<StoreClient>(loop, platform, Seconds(5));
   StartBackends();
   CtlResult applied = Apply(inventory);
@@ -166,7 +169,7 @@
 }
 
 Site::~Site() {
-  // The processes end before the directory of their logs is removed.
+  // The processes must end before the directory with their logs is removed.
   entries.clear();
   controls.clear();
   backends.clear();
@@ -178,7 +181,7 @@
 
 void Site::StartBackends() {
   for (auto& [id, host] : inventory.hosts) {
-    BackendNode node;
+    BackendProcess node;
     node.id = id;
     node.exec_log = dir_ + "/" + id.str() + ".exec";
     node.process =
@@ -187,8 +190,8 @@
                std::to_string(host.slots), "--execution-log", node.exec_log});
     backends.push_back(std::move(node));
   }
-  for (BackendNode& node : backends) {
-    node.endpoint = Addresses(*node.process).at(0);
+  for (BackendProcess& node : backends) {
+    node.endpoint = PrintedAddresses(*node.process).at(0);
     Endpoint address = node.endpoint;
     if (options_.backend_relays) {
       node.relay = std::make_unique<Relay>(loop);
@@ -208,9 +211,9 @@
     std::string address = FormatEndpoint(relay->Listen({"127.0.0.1", 0}));
     auto start = [&](const std::string& role, uint32_t count,
                      std::vector<std::string> args,
-                     std::vector<MemberNode>& nodes) {
+                     std::vector<MemberProcess>& nodes) {
       for (uint32_t n = 0; n < count; ++n) {
-        MemberNode node;
+        MemberProcess node;
         node.name = role;
         node.name.append("-").append(zone).append("-");
         node.name += std::to_string(n);
@@ -236,21 +239,21 @@
     start("entry", options_.entries_per_zone, entry_args, entries);
     start("control", options_.controls_per_zone, {}, controls);
   }
-  for (MemberNode& entry : entries) {
-    auto addresses = Addresses(*entry.process);
-    entry.callers = addresses.at(0);
-    entry.admin = addresses.at(1);
-    targets.push_back(entry.callers);
+  for (MemberProcess& entry : entries) {
+    auto addresses = PrintedAddresses(*entry.process);
+    entry.callers_endpoint = addresses.at(0);
+    entry.admin_endpoint = addresses.at(1);
+    targets.push_back(entry.callers_endpoint);
   }
-  for (MemberNode& control : controls)
-    control.admin = Addresses(*control.process).at(0);
+  for (MemberProcess& control : controls)
+    control.admin_endpoint = PrintedAddresses(*control.process).at(0);
   callers_relay = std::make_unique<Relay>(loop);
   callers_relay->SetTargets(targets);
-  callers = callers_relay->Listen({"127.0.0.1", 0});
+  callers_endpoint = callers_relay->Listen({"127.0.0.1", 0});
   for (auto* members : {&entries, &controls}) {
-    for (const MemberNode& member : *members) {
-      Await(member.name + " is not ready", kReadyLimit, [&] {
-        auto page = Fetch(member.admin, {"GET", "/readyz", {}, ""});
+    for (const MemberProcess& member : *members) {
+      WaitOrThrow(member.name + " is not ready", kReadyTimeout, [&] {
+        auto page = Fetch(member.admin_endpoint, {"GET", "/readyz", {}, ""});
         return page && page->status == 200;
       });
     }
@@ -264,11 +267,13 @@
   return std::make_unique<ChildProcess>(dir_ + "/" + name, program, args);
 }
 
-std::vector<Endpoint> Site::Addresses(ChildProcess& process) {
+std::vector<Endpoint> Site::PrintedAddresses(ChildProcess& process) {
   std::string output;
-  Await("a program printed no address", kProcessLimit, [&] {
+  WaitOrThrow("a child process printed no address", kProcessTimeout, [&] {
     if (process.exit_code())
-      throw std::runtime_error("a program ended: " + process.Errors());
+      throw std::runtime_error(
+          "a child process ended before it printed an address: " +
+          process.Errors());
     output = process.Output();
     return output.find('\n') != std::string::npos;
   });
@@ -282,7 +287,7 @@
   return addresses;
 }
 
-bool Site::Until(Duration limit, const std::function<bool()>& condition) {
+bool Site::WaitUntil(Duration limit, const std::function<bool()>& condition) {
   Time end = loop.now() + limit;
   while (!condition()) {
     if (loop.now() >= end)
@@ -292,10 +297,10 @@
   return true;
 }
 
-void Site::Await(const std::string& what,
-                 Duration limit,
-                 const std::function<bool()>& condition) {
-  if (!Until(limit, condition))
+void Site::WaitOrThrow(const std::string& what,
+                       Duration limit,
+                       const std::function<bool()>& condition) {
+  if (!WaitUntil(limit, condition))
     throw std::runtime_error(what);
 }
 
@@ -320,33 +325,36 @@
   return std::nullopt;
 }
 
-std::optional<int64_t> Site::Status(const MemberNode& member,
-                                    const std::string& field) {
-  auto page = Fetch(member.admin, {"GET", "/status", {}, ""}, Seconds(1));
+std::optional<int64_t> Site::StatusField(const MemberProcess& member,
+                                         const std::string& field) {
+  auto page =
+      Fetch(member.admin_endpoint, {"GET", "/status", {}, ""}, Seconds(1));
   if (!page || page->status != 200)
     return std::nullopt;
   return json::parse(page->body).at(field).to_number<int64_t>();
 }
 
-int64_t Site::BackendStat(const BackendNode& backend,
+int64_t Site::BackendStat(const BackendProcess& backend,
                           const std::string& field) {
   auto page = Fetch(backend.endpoint, {"GET", "/_standin/stats", {}, ""});
   if (!page)
-    throw std::runtime_error("no statistics of " + backend.id.str());
+    throw std::runtime_error("no answer with statistics from backend server " +
+                             backend.id.str());
   return json::parse(page->body).at(field).to_number<int64_t>();
 }
 
-void Site::SetBackendFaults(const BackendNode& backend,
+void Site::SetBackendFaults(const BackendProcess& backend,
                             const std::string& text) {
   auto page = Fetch(backend.endpoint, {"POST", "/_standin/faults", {}, text});
   if (!page || page->status != 200)
-    throw std::runtime_error("cannot set faults of " + backend.id.str());
+    throw std::runtime_error("faults not accepted by backend server " +
+                             backend.id.str());
 }
 
 void Site::SetPlatformFaults(const std::string& text) {
   auto page = Fetch(platform, {"POST", "/faults", {}, text});
   if (!page || page->status != 200)
-    throw std::runtime_error("cannot set faults of the platform");
+    throw std::runtime_error("faults not accepted by the platform");
 }
 
 std::string Site::RawExchange(const Endpoint& endpoint,
@@ -380,7 +388,7 @@
         });
   };
   (*read)();
-  Until(limit, [&] { return exchange->ended; });
+  WaitUntil(limit, [&] { return exchange->ended; });
   boost::system::error_code ignored;
   exchange->socket.close(ignored);
   return exchange->received;
@@ -395,18 +403,18 @@
 }
 
 CtlResult Site::WaitCtl(ChildProcess& ctl) {
-  Await("radishmoorctl did not end", kProcessLimit,
-        [&] { return ctl.exit_code().has_value(); });
+  WaitOrThrow("radishmoorctl did not end", kProcessTimeout,
+              [&] { return ctl.exit_code().has_value(); });
   return {*ctl.exit_code(), ctl.Output(), ctl.Errors()};
 }
 
-CtlResult Site::Ctl(const std::vector<std::string>& args) {
+CtlResult Site::RunCtl(const std::vector<std::string>& args) {
   auto ctl = StartCtl(args);
   return WaitCtl(*ctl);
 }
 
 CtlResult Site::Apply(const Inventory& wanted) {
-  return Ctl({"apply", WriteInventory(wanted)});
+  return RunCtl({"apply", WriteInventory(wanted)});
 }
 
 std::string Site::WriteInventory(const Inventory& wanted) {
@@ -427,12 +435,12 @@
   return std::move(*result);
 }
 
-FleetState Site::Config() {
+FleetState Site::AcceptedConfig() {
   return LoadConfig([this](const StoreRequest& r) { return Execute(r); }).state;
 }
 
-HostState Site::ConfigHost(const HostId& id) {
-  return Config().hosts.at(id);
+HostState Site::AcceptedHostState(const HostId& id) {
+  return AcceptedConfig().hosts.at(id);
 }
 
 std::vector<FleetState> Site::ConfigHistory() {
@@ -452,8 +460,8 @@
   }
 }
 
-BackendNode& Site::Backend(const HostId& id) {
-  for (BackendNode& backend : backends) {
+BackendProcess& Site::Backend(const HostId& id) {
+  for (BackendProcess& backend : backends) {
     if (backend.id == id)
       return backend;
   }
@@ -461,27 +469,27 @@
 }
 
 std::vector<ExecutionRecord> Site::Executions(
-    const BackendNode& backend) const {
+    const BackendProcess& backend) const {
   std::ifstream in(backend.exec_log);
   return ReadExecutions(in);
 }
 
 std::vector<ExecutionRecord> Site::Executions() const {
   std::vector<ExecutionRecord> all;
-  for (const BackendNode& backend : backends) {
+  for (const BackendProcess& backend : backends) {
     auto part = Executions(backend);
     all.insert(all.end(), part.begin(), part.end());
   }
   return all;
 }
 
-HistoryReport Site::Check(const std::vector<CallRecord>& calls) const {
+HistoryReport Site::CheckCalls(const std::vector<CallRecord>& calls) const {
   return CheckHistory(calls, Executions());
 }
 
 Load::Load(Site& site, LoadOptions options)
     : site_(site),
-      options_(Complete(site, std::move(options))),
+      options_(FillInTargets(site, std::move(options))),
       generator_(site.loop, options_),
       started_(site.loop.now()) {
   generator_.Start(
@@ -489,10 +497,10 @@
 }
 
 std::vector<CallRecord> Load::Wait() {
-  // The generator itself gives up on a call 5 s after its deadline.
-  site_.Await("calls are left without a result",
-              options_.duration + options_.long_deadline + Seconds(10),
-              [this] { return calls_.has_value(); });
+  // The load generator counts a call as lost 5 s after its deadline.
+  site_.WaitOrThrow("some calls have no result after the end of the load",
+                    options_.duration + options_.long_deadline + Seconds(10),
+                    [this] { return calls_.has_value(); });
   return *calls_;
 }
 
--- a/radishmoor/standins/testing/wave_trial.cc
+++ b/radishmoor/standins/testing/wave_trial.cc
@@ -1,6 +1,10 @@
-// Runs a maintenance wave over a whole site with faults on the way and prints
-// what it cost. Usage: wave_trial SITE_FILE SEED. Exit code 1 on a violation, 2
-// on wrong arguments.
+// Runs a maintenance round over a whole site of real processes under load, with
+// faults of processes, platform and network during it, and prints how long the
+// round took and what it cost the callers.
+//
+//   wave_trial SITE_FILE SEED
+//
+// The exit code is 1 on a violation or error and 2 on wrong arguments.
 
 #include <algorithm>
 #include <csignal>
@@ -17,14 +21,17 @@
 
 constexpr char kRound[] = "trial";
 constexpr double kCallsPerSecond = 500;
-constexpr Duration kLoadPart = Seconds(5);
-// Bounds the trial to about three minutes. With 150 s, the last two hosts of a
-// round under all faults had rebooted but did not serve yet.
-constexpr Duration kLimit = Seconds(175);
-// Longer than the lease of 10 s and the margin of 2 s.
-constexpr Duration kFreeze = Seconds(15);
-constexpr Duration kOutage = Seconds(4);
-constexpr Duration kCut = Seconds(6);
+// Length of each load; the next one starts when this time has passed.
+constexpr Duration kLoadPeriod = Seconds(5);
+// Bounds the trial to about three minutes. 150 s are too short: under all
+// faults, the last two hosts of a round had rebooted by then but did not serve
+// yet.
+constexpr Duration kTrialLimit = Seconds(175);
+// Longer than the lease (10 s) and the takeover margin (2 s), so that another
+// control process takes the frozen one's leases over.
+constexpr Duration kFreezeLength = Seconds(15);
+constexpr Duration kPlatformOutageLength = Seconds(4);
+constexpr Duration kZoneCutLength = Seconds(6);
 
 class WaveTrial {
  public:
@@ -35,7 +42,7 @@
                .controls_per_zone = 3,
                .inventory = std::move(inventory)}) {}
 
-  // True without a violation.
+  // Returns true if there was no violation.
   bool Run() {
     Inventory wanted = site_.inventory;
     wanted.rules.maintenance = kRound;
@@ -43,22 +50,23 @@
       throw std::runtime_error("cannot apply the maintenance round");
     started_ = site_.loop.now();
     PlanFaults();
-    KeepLoad();
-    finished_ = site_.Until(kLimit, [this] { return Maintained() == Hosts(); });
-    roll_out_ = site_.loop.now() - started_;
+    StartNextLoad();
+    finished_ = site_.WaitUntil(
+        kTrialLimit, [this] { return MaintainedCount() == HostCount(); });
+    roll_out_time_ = site_.loop.now() - started_;
     loading_ = false;
     for (auto& load : loads_) {
       auto part = load->Wait();
       calls_.insert(calls_.end(), part.begin(), part.end());
     }
-    return Report();
+    return PrintReport();
   }
 
  private:
-  void At(int64_t from_s,
-          int64_t to_s,
-          const std::string& name,
-          std::function<void()> fault) {
+  void ScheduleFault(int64_t from_s,
+                     int64_t to_s,
+                     const std::string& name,
+                     std::function<void()> fault) {
     Duration when =
         Seconds(from_s) + Milliseconds(static_cast<int64_t>(random_.Below(
                               static_cast<uint64_t>(1000 * (to_s - from_s)))));
@@ -67,62 +75,66 @@
   }
 
   void PlanFaults() {
-    // Distinct processes of the first three zones' controls or fewer zones.
-    std::set<size_t> chosen;
-    while (chosen.size() < 3)
-      chosen.insert(random_.Below(site_.controls.size()));
-    std::vector<size_t> hit(chosen.begin(), chosen.end());
+    // Three different control processes: two are killed, one is frozen.
+    std::set<size_t> chosen_indexes;
+    while (chosen_indexes.size() < 3)
+      chosen_indexes.insert(random_.Below(site_.controls.size()));
+    std::vector<size_t> faulty(chosen_indexes.begin(), chosen_indexes.end());
     for (size_t i : {0, 1}) {
-      MemberNode& control = site_.controls[hit[i]];
-      At(i == 0 ? 3 : 25, i == 0 ? 20 : 45, "kill " + control.name,
-         [&control] { control.process->Signal(SIGKILL); });
+      MemberProcess& control = site_.controls[faulty[i]];
+      ScheduleFault(i == 0 ? 3 : 25, i == 0 ? 20 : 45, "kill " + control.name,
+                    [&control] { control.process->Signal(SIGKILL); });
     }
-    MemberNode& frozen = site_.controls[hit[2]];
-    At(5, 30, "freeze " + frozen.name + " for 15 s", [this, &frozen] {
-      frozen.process->Signal(SIGSTOP);
-      site_.loop.RunAfter(kFreeze,
-                          [&frozen] { frozen.process->Signal(SIGCONT); });
-    });
-    At(15, 40, "platform down for 4 s", [this] {
-      SetPlatform("down");
-      site_.loop.RunAfter(kOutage, [this] { SetPlatform("up"); });
+    MemberProcess& frozen = site_.controls[faulty[2]];
+    ScheduleFault(
+        5, 30, "freeze " + frozen.name + " for 15 s", [this, &frozen] {
+          frozen.process->Signal(SIGSTOP);
+          site_.loop.RunAfter(kFreezeLength,
+                              [&frozen] { frozen.process->Signal(SIGCONT); });
+        });
+    ScheduleFault(15, 40, "platform down for 4 s", [this] {
+      SetPlatformFault("down");
+      site_.loop.RunAfter(kPlatformOutageLength,
+                          [this] { SetPlatformFault("up"); });
     });
     auto zone = std::next(
         site_.platform_relays.begin(),
         static_cast<int64_t>(random_.Below(site_.platform_relays.size())));
     Relay* relay = zone->second.get();
-    At(45, 60, "zone " + zone->first + " cut off for 6 s", [this, relay] {
-      relay->SetMode(RelayMode::kSilent);
-      site_.loop.RunAfter(kCut,
-                          [relay] { relay->SetMode(RelayMode::kForward); });
-    });
+    ScheduleFault(
+        45, 60, "zone " + zone->first + " cut off for 6 s", [this, relay] {
+          relay->SetMode(RelayMode::kSilent);
+          site_.loop.RunAfter(kZoneCutLength,
+                              [relay] { relay->SetMode(RelayMode::kForward); });
+        });
   }
 
-  // Called on the loop, where Site's waiting functions may not be used.
-  void SetPlatform(const std::string& mode) {
+  // Does not use Site::SetPlatformFaults, which runs the event loop and so
+  // cannot be called from a callback of the loop.
+  void SetPlatformFault(const std::string& mode) {
     fetcher_.Fetch(site_.platform,
                    {"POST", "/faults", {}, R"({"mode": ")" + mode + R"("})"},
                    Seconds(5), [](const HttpFetcher::Result&) {});
   }
 
-  void KeepLoad() {
+  void StartNextLoad() {
     if (!loading_)
       return;
     LoadOptions options;
     options.rate = kCallsPerSecond;
-    options.duration = kLoadPart;
-    // Request ids start with the seed of their part.
+    options.duration = kLoadPeriod;
+    // Request ids begin with the seed, so each load needs its own.
     options.seed = seed_ * 1000 + loads_.size() + 1;
     loads_.push_back(std::make_unique<Load>(site_, options));
-    site_.loop.RunAfter(kLoadPart, [this] { KeepLoad(); });
+    site_.loop.RunAfter(kLoadPeriod, [this] { StartNextLoad(); });
   }
 
-  size_t Hosts() const { return site_.inventory.hosts.size(); }
+  size_t HostCount() const { return site_.inventory.hosts.size(); }
 
-  size_t Maintained() {
-    // The table service may be down at this moment.
+  size_t MaintainedCount() {
+    // The platform may be down at this moment.
     try {
-      FleetState state = site_.Config();
+      FleetState state = site_.AcceptedConfig();
       return static_cast<size_t>(std::count_if(
           state.hosts.begin(), state.hosts.end(), [](const auto& item) {
             return item.second.maintained == kRound &&
@@ -133,22 +145,23 @@
     }
   }
 
-  bool Report() {
+  bool PrintReport() {
     std::vector<FleetState> history = site_.ConfigHistory();
-    HistoryReport report = site_.Check(calls_);
+    HistoryReport report = site_.CheckCalls(calls_);
     uint64_t cut = report.closed;
     for (const CallRecord& call : calls_)
       cut += call.reason == "backend-failed" ? 1 : 0;
-    size_t maintained = Maintained();
-    size_t not_once = 0;
-    for (const BackendNode& backend : site_.backends)
-      not_once += site_.BackendStat(backend, "reboots") == 1 ? 0 : 1;
+    size_t maintained = MaintainedCount();
+    size_t not_rebooted_once = 0;
+    for (const BackendProcess& backend : site_.backends)
+      not_rebooted_once += site_.BackendStat(backend, "reboots") == 1 ? 0 : 1;
     size_t two_pools = HostsInTwoPools(history);
-    std::cout << "hosts maintained        " << maintained << " of " << Hosts()
-              << "\nhosts not rebooted once " << not_once
-              << "\nroll-out time           " << ToSeconds(roll_out_) << " s"
+    std::cout << "hosts maintained        " << maintained << " of "
+              << HostCount() << "\nhosts not rebooted once "
+              << not_rebooted_once << "\nroll-out time           "
+              << ToSeconds(roll_out_time_) << " s"
               << (finished_ ? "" : " (not finished)") << "\n";
-    bool within = ReportBudgets(history);
+    bool within_budgets = PrintBudgets(history);
     std::cout << "requests sent           " << report.calls
               << "\nrequests completed      " << report.completed
               << "\nrequests refused        " << report.not_run
@@ -160,20 +173,21 @@
               << "\nhosts in two pools      " << two_pools << "\n";
     for (size_t i = 0; i < std::min<size_t>(report.violations.size(), 5); ++i)
       std::cout << "  " << report.violations[i] << "\n";
-    return finished_ && not_once == 0 && within && cut == 0 &&
+    return finished_ && not_rebooted_once == 0 && within_budgets && cut == 0 &&
            report.violations.empty() && two_pools == 0;
   }
 
-  static bool ReportBudgets(const std::vector<FleetState>& history) {
+  static bool PrintBudgets(const std::vector<FleetState>& history) {
     std::map<PoolId, uint32_t> largest;
-    bool within = true;
+    bool within_budgets = true;
     for (const FleetState& state : history) {
       std::map<PoolId, uint32_t> unavailable;
       for (const auto& [id, host] : state.hosts)
         unavailable[host.pool] += host.phase == HostPhase::kActive ? 0 : 1;
       for (const auto& [id, count] : unavailable) {
         largest[id] = std::max(largest[id], count);
-        within = within && count <= state.pools.at(id).max_unavailable;
+        within_budgets =
+            within_budgets && count <= state.pools.at(id).max_unavailable;
       }
     }
     for (const auto& [id, count] : largest) {
@@ -181,14 +195,15 @@
                 << history.back().pools.at(id).max_unavailable << "  "
                 << id.str() << "\n";
     }
-    return within;
+    return within_budgets;
   }
 
-  // Hosts whose starts do not follow the order of their pools in the
-  // configuration: requests of an earlier pool ran after the move.
+  // Returns the number of hosts on which requests did not start in the order in
+  // which the configuration moved the host between pools: a request of an
+  // earlier pool started after one of a later pool.
   size_t HostsInTwoPools(const std::vector<FleetState>& history) const {
     size_t count = 0;
-    for (const BackendNode& backend : site_.backends) {
+    for (const BackendProcess& backend : site_.backends) {
       std::vector<std::string> pools;
       for (const FleetState& state : history) {
         const HostState* host = state.FindHost(backend.id);
@@ -214,7 +229,7 @@
   bool loading_ = true;
   bool finished_ = false;
   Time started_;
-  Duration roll_out_ = Duration::zero();
+  Duration roll_out_time_ = Duration::zero();
 };
 
 int RunTrial(const std::string& file, uint64_t seed) {
