--- a/radishmoor/daemons/load_main.cc
+++ b/radishmoor/daemons/load_main.cc
@@ -38,7 +38,7 @@
             << "unknown     " << report.may_have_run + report.closed
             << "  (may have run)\n"
             << "lost        " << report.lost << "\n"
-            << "doubled     " << report.doubled << "\n"
+            << "doubled     " << report.keys_started_repeatedly << "\n"
             << "violations  " << report.violations.size() << "\n"
             << "short p50   " << PercentileMs(latencies, 0.50) << " ms\n"
             << "short p99   " << PercentileMs(latencies, 0.99) << " ms\n";
--- a/radishmoor/standins/history.cc
+++ b/radishmoor/standins/history.cc
@@ -116,7 +116,7 @@
   HistoryReport report;
   for (const auto& [key, count] : by_key) {
     if (count.starts > 1) {
-      ++report.doubled;
+      ++report.keys_started_repeatedly;
       report.violations.push_back("key " + key + " started " +
                                   std::to_string(count.starts) + " times");
     }
--- a/radishmoor/standins/relay.cc
+++ b/radishmoor/standins/relay.cc
@@ -180,7 +180,7 @@
   for (const auto& link : links) {
     if (mode == RelayMode::kRefuse)
       link->Close();
-    if (mode == RelayMode::kSilent || mode == RelayMode::kForgetOpen)
+    if (mode == RelayMode::kSilent || mode == RelayMode::kSilenceOpen)
       link->set_silent(true);
   }
 }
--- a/radishmoor/standins/relay.h
+++ b/radishmoor/standins/relay.h
@@ -33,7 +33,7 @@
   kSilent,
   // Drops the bytes of the connections that are open at the call of SetMode;
   // connections that are opened later work.
-  kForgetOpen,
+  kSilenceOpen,
 };
 
 class Relay {
@@ -47,8 +47,8 @@
   Endpoint Listen(const Endpoint& endpoint);
   // Applies to connections that are accepted from now on.
   void SetTargets(std::vector<Endpoint> targets);
-  // A connection that kSilent or kForgetOpen has silenced stays silent in later
-  // modes; kRefuse closes it.
+  // A connection that kSilent or kSilenceOpen has silenced stays silent in
+  // later modes; kRefuse closes it.
   void SetMode(RelayMode mode);
   // Delays each chunk of up to 16 KB in each direction, before the next chunk
   // of that direction is read.
--- a/radishmoor/standins/testing/call_checks.h
+++ b/radishmoor/standins/testing/call_checks.h
@@ -78,7 +78,7 @@
   for (const std::string& violation : report.violations)
     UNSCOPED_INFO(violation);
   CHECK(report.violations.empty());
-  CHECK(report.doubled == 0);
+  CHECK(report.keys_started_repeatedly == 0);
   CHECK(report.lost == 0);
   CHECK(report.completed > 0);
 }
--- a/radishmoor/standins/testing/process_test.cc
+++ b/radishmoor/standins/testing/process_test.cc
@@ -189,7 +189,7 @@
   Load load(site, options);
   site.RunFor(Milliseconds(1500));
   size_t connections = silent.relay->connection_count();
-  silent.relay->SetMode(RelayMode::kForgetOpen);
+  silent.relay->SetMode(RelayMode::kSilenceOpen);
   Calls calls = load.Wait();
   Calls missed = CallsWhere(calls, [](const CallRecord& call) {
     return call.result != CallResult::kCompleted || call.latency_us > 1'000'000;
--- a/radishmoor/standins/testing/wave_trial.cc
+++ b/radishmoor/standins/testing/wave_trial.cc
@@ -166,10 +166,11 @@
               << "\nrequests completed      " << report.completed
               << "\nrequests refused        " << report.not_run
               << "\nrequests cut            " << cut
-              << "\nrequests doubled        " << report.doubled
+              << "\nrequests doubled        " << report.keys_started_repeatedly
               << "\nrequests lost           " << report.lost
               << "\nother violations        "
-              << report.violations.size() - report.doubled - report.lost
+              << report.violations.size() - report.keys_started_repeatedly -
+                     report.lost
               << "\nhosts in two pools      " << two_pools << "\n";
     for (size_t i = 0; i < std::min<size_t>(report.violations.size(), 5); ++i)
       std::cout << "  " << report.violations[i] << "\n";
