--- a/radishmoor/net/answer_codec.h
+++ b/radishmoor/net/answer_codec.h
@@ -1,4 +1,6 @@
-// Encoding of a whole answer for storage with its claim.
+// Encoding of a backend server's answer as it is stored in the claim row of a
+// request with an idempotency key. The format is Thrift's compact protocol with
+// the struct StoredAnswer of idl/peer.thrift.
 
 #ifndef RADISHMOOR_NET_ANSWER_CODEC_H_
 #define RADISHMOOR_NET_ANSWER_CODEC_H_
@@ -11,6 +13,7 @@
 namespace radishmoor {
 
 std::string EncodeAnswer(const HttpResponse& answer);
+// Returns nullopt if `bytes` is not a valid encoding.
 std::optional<HttpResponse> DecodeAnswer(const std::string& bytes);
 
 }  // namespace radishmoor
--- a/radishmoor/net/asio_types.h
+++ b/radishmoor/net/asio_types.h
@@ -1,5 +1,5 @@
-// Asio and Beast types for the one event loop of a process, and the text of a
-// message. Only for the .cc files of this slice.
+// Asio and Beast types bound to the executor of EventLoop, and the
+// serialization of HTTP messages. Only for the .cc files of radishmoor/net.
 
 #ifndef RADISHMOOR_NET_ASIO_TYPES_H_
 #define RADISHMOOR_NET_ASIO_TYPES_H_
@@ -16,8 +16,8 @@
 
 namespace radishmoor {
 
-// With a type-erased executor, a tenth of the time of an entry process went
-// into copies of executors.
+// Asio's default executor is type-erased; copying it took a tenth of the CPU
+// time of an entry process.
 using LoopExecutor = boost::asio::io_context::executor_type;
 using LoopSocket =
     boost::asio::basic_stream_socket<boost::asio::ip::tcp, LoopExecutor>;
@@ -26,8 +26,8 @@
 using LoopStream =
     boost::beast::basic_stream<boost::asio::ip::tcp, LoopExecutor>;
 
-// A stream as Beast's synchronous write expects it, that appends to a text.
-struct TextSink {
+// A SyncWriteStream for Beast that appends what is written to `text`.
+struct StringWriteStream {
   std::string text;
 
   template <typename Buffers>
@@ -45,16 +45,17 @@
   }
 };
 
-// The message as one piece of text. Writing Beast's sequence of one buffer for
-// each header asynchronously walks the sequence several times.
+// Returns the message as it is sent, in one string. Beast's own serialization
+// is a sequence with one buffer for each header, which an asynchronous write
+// walks several times.
 template <bool kIsRequest, typename Body>
-std::string WireText(
+std::string SerializeMessage(
     const boost::beast::http::message<kIsRequest, Body>& message) {
-  TextSink sink;
-  sink.text.reserve(256 + message.body().size());
+  StringWriteStream stream;
+  stream.text.reserve(256 + message.body().size());
   boost::system::error_code error;
-  boost::beast::http::write(sink, message, error);
-  return std::move(sink.text);
+  boost::beast::http::write(stream, message, error);
+  return std::move(stream.text);
 }
 
 }  // namespace radishmoor
--- a/radishmoor/net/event_loop.cc
+++ b/radishmoor/net/event_loop.cc
@@ -14,25 +14,25 @@
 
 namespace asio = boost::asio;
 
-// All timers share one Asio timer, set to the earliest of them.
+// All timers share one Asio timer, which is set to the earliest deadline.
 struct EventLoop::Impl {
   asio::io_context io{1};
   asio::steady_timer timer{io};
   std::map<std::pair<Time, TimerId>, std::function<void()>> tasks;
-  std::map<TimerId, Time> times;
+  std::map<TimerId, Time> timer_deadlines;  // Pending timers only.
   TimerId next_timer = 1;
-  Time armed = kTimeMax;
+  Time armed_for = kTimeMax;  // Expiry of `timer`; kTimeMax if it is not set.
   std::list<asio::signal_set> signals;
 
   void Arm();
-  void Expire();
+  void RunDueTasks();
   void WaitForSignal(asio::signal_set* set, std::function<void()> task);
 };
 
 namespace {
 
-// A task whose next need is always now must not keep the loop from its other
-// work.
+// Minimum delay of a WakeTimer: a task that always asks to run at once must not
+// starve the other work of the loop.
 constexpr Duration kMinWakeDelay = Microseconds(200);
 
 Time MonotonicNow() {
@@ -46,24 +46,24 @@
   if (tasks.empty())
     return;
   Time earliest = tasks.begin()->first.first;
-  if (earliest >= armed)
+  if (earliest >= armed_for)
     return;
-  armed = earliest;
+  armed_for = earliest;
   timer.expires_at(asio::steady_timer::time_point(earliest.time_since_epoch()));
   timer.async_wait([this](const boost::system::error_code& error) {
     if (error)
       return;
-    armed = kTimeMax;
-    Expire();
+    armed_for = kTimeMax;
+    RunDueTasks();
     Arm();
   });
 }
 
-void EventLoop::Impl::Expire() {
+void EventLoop::Impl::RunDueTasks() {
   Time now = MonotonicNow();
   while (!tasks.empty() && tasks.begin()->first.first <= now) {
     auto node = tasks.extract(tasks.begin());
-    times.erase(node.key().second);
+    timer_deadlines.erase(node.key().second);
     node.mapped()();
   }
 }
@@ -95,7 +95,7 @@
 TimerId EventLoop::RunAt(Time when, std::function<void()> task) {
   TimerId id = impl_->next_timer++;
   impl_->tasks.emplace(std::pair(when, id), std::move(task));
-  impl_->times.emplace(id, when);
+  impl_->timer_deadlines.emplace(id, when);
   impl_->Arm();
   return id;
 }
@@ -105,11 +105,11 @@
 }
 
 void EventLoop::Cancel(TimerId timer) {
-  auto it = impl_->times.find(timer);
-  if (it == impl_->times.end())
+  auto it = impl_->timer_deadlines.find(timer);
+  if (it == impl_->timer_deadlines.end())
     return;
   impl_->tasks.erase(std::pair(it->second, timer));
-  impl_->times.erase(it);
+  impl_->timer_deadlines.erase(it);
 }
 
 void EventLoop::Post(std::function<void()> task) {
@@ -122,7 +122,7 @@
 }
 
 void EventLoop::Run() {
-  // Makes a loop that was stopped usable again.
+  // Allows run() after an earlier stop().
   impl_->io.restart();
   auto guard = asio::make_work_guard(impl_->io);
   impl_->io.run();
@@ -144,12 +144,12 @@
 }
 
 void WakeTimer::Arm(Time when) {
-  if (when >= at_)
+  if (when >= armed_for_)
     return;
   loop_.Cancel(timer_);
-  at_ = std::max(when, loop_.now() + kMinWakeDelay);
-  timer_ = loop_.RunAt(at_, [this] {
-    at_ = kTimeMax;
+  armed_for_ = std::max(when, loop_.now() + kMinWakeDelay);
+  timer_ = loop_.RunAt(armed_for_, [this] {
+    armed_for_ = kTimeMax;
     task_();
   });
 }
--- a/radishmoor/net/event_loop.h
+++ b/radishmoor/net/event_loop.h
@@ -1,5 +1,4 @@
-// One event loop for all input and output of a process, with the process's
-// clocks and timers.
+// Event loop of a process: its sockets, timers, signals and clocks.
 //
 //   EventLoop loop;
 //   loop.RunAfter(Milliseconds(100), [] { ... });
@@ -33,16 +32,19 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // The monotonic clock of this process. Reads the clock at each call.
+  // Monotonic time. Reads the clock at each call.
   Time now() const;
+  // Unix time in ms. May jump.
   WallMillis wall_now() const;
 
-  // Runs `task` once at `when`, or at once if that has passed. O(log timers).
+  // Runs `task` once at `when`, or soon after RunAt() returns if that time has
+  // passed. Costs O(log n) for n pending timers.
   TimerId RunAt(Time when, std::function<void()> task);
   TimerId RunAfter(Duration delay, std::function<void()> task);
-  // Does nothing for a timer that ran or was cancelled.
+  // Does nothing if the timer has run or was cancelled.
   void Cancel(TimerId timer);
 
+  // Queues `task` to run on the loop's thread.
   void Post(std::function<void()> task);
 
   // Calls `task` at each arrival of `signal`, on the loop's thread.
@@ -59,8 +61,9 @@
   std::unique_ptr<Impl> impl_;
 };
 
-// Calls a task at the time of its earliest need. Arming it for a later time
-// than the one it is armed for costs nothing; the task then runs early, once.
+// A timer that calls its task once at the earliest time it was armed for.
+// Arming it for a later time than that has no effect and no cost: the task runs
+// at the earlier time and must arm the timer again for the later one.
 class WakeTimer {
  public:
   WakeTimer(EventLoop& loop, std::function<void()> task);
@@ -72,7 +75,7 @@
   EventLoop& loop_;
   std::function<void()> task_;
   TimerId timer_ = 0;
-  Time at_ = kTimeMax;
+  Time armed_for_ = kTimeMax;
 };
 
 }  // namespace radishmoor
--- a/radishmoor/net/frame_transport.cc
+++ b/radishmoor/net/frame_transport.cc
@@ -24,10 +24,11 @@
 
 namespace {
 
-class Incoming;
-class Outgoing;
+class IncomingConnection;
+class OutgoingConnection;
 
-std::string Frame(const std::string& payload) {
+// Returns the payload after its length, 4 bytes, big-endian.
+std::string EncodeFrame(const std::string& payload) {
   auto size = static_cast<uint32_t>(payload.size());
   std::string frame;
   frame.reserve(payload.size() + 4);
@@ -51,17 +52,19 @@
   EventLoop& loop;
   std::function<void(std::string_view)> on_frame;
   tcp::acceptor acceptor;
-  std::unordered_set<std::shared_ptr<Incoming>> incoming;
-  std::map<Endpoint, std::shared_ptr<Outgoing>> outgoing;
+  std::unordered_set<std::shared_ptr<IncomingConnection>> incoming;
+  std::map<Endpoint, std::shared_ptr<OutgoingConnection>> outgoing;
   Counters counters;
-  Duration unacknowledged_limit{};
+  Duration ack_timeout{};
 };
 
 namespace {
 
-class Incoming : public std::enable_shared_from_this<Incoming> {
+class IncomingConnection
+    : public std::enable_shared_from_this<IncomingConnection> {
  public:
-  Incoming(tcp::socket socket, std::shared_ptr<FrameTransport::Impl> transport)
+  IncomingConnection(tcp::socket socket,
+                     std::shared_ptr<FrameTransport::Impl> transport)
       : socket_(std::move(socket)), transport_(std::move(transport)) {}
 
   void ReadLength() {
@@ -86,7 +89,7 @@
     uint32_t size = 0;
     for (unsigned char byte : header_)
       size = (size << 8) | byte;
-    if (size == 0 || size > FrameTransport::kMaxFrame) {
+    if (size == 0 || size > FrameTransport::kMaxFrameBytes) {
       ++transport_->counters.malformed;
       Close();
       return;
@@ -109,21 +112,22 @@
   std::string payload_;
 };
 
-class Outgoing : public std::enable_shared_from_this<Outgoing> {
+class OutgoingConnection
+    : public std::enable_shared_from_this<OutgoingConnection> {
  public:
-  Outgoing(const Endpoint& endpoint,
-           std::shared_ptr<FrameTransport::Impl> transport)
+  OutgoingConnection(const Endpoint& endpoint,
+                     std::shared_ptr<FrameTransport::Impl> transport)
       : endpoint_(endpoint),
         transport_(std::move(transport)),
         socket_(transport_->loop.io_context()),
-        opened_(transport_->loop.now()) {}
+        opened_at_(transport_->loop.now()) {}
 
   void Connect() {
-    if (transport_->unacknowledged_limit > Duration::zero()) {
+    if (transport_->ack_timeout > Duration::zero()) {
       connect_timer_ = transport_->loop.RunAfter(
-          transport_->unacknowledged_limit, [self = shared_from_this()] {
+          transport_->ack_timeout, [self = shared_from_this()] {
             if (!self->connected_ && !self->closed_)
-              self->Forget();
+              self->CloseAndRemove();
           });
     }
     tcp::endpoint address(asio::ip::make_address(endpoint_.ip), endpoint_.port);
@@ -134,11 +138,11 @@
   }
 
   void Send(std::string frame) {
-    if (queued_ + frame.size() > FrameTransport::kMaxQueued) {
+    if (queued_bytes_ + frame.size() > FrameTransport::kMaxQueuedBytes) {
       ++transport_->counters.dropped;
       return;
     }
-    queued_ += frame.size();
+    queued_bytes_ += frame.size();
     queue_.push_back(std::move(frame));
     if (connected_ && queue_.size() == 1)
       Write();
@@ -150,14 +154,14 @@
     socket_.close(ignored);
   }
 
-  Time opened() const { return opened_; }
+  Time opened_at() const { return opened_at_; }
 
  private:
   void OnConnected(error_code error) {
     if (closed_)
       return;
     if (error) {
-      Forget();
+      CloseAndRemove();
       return;
     }
     transport_->loop.Cancel(connect_timer_);
@@ -170,8 +174,8 @@
   }
 
   void SetUserTimeout() {
-    auto limit = static_cast<unsigned>(
-        WholeMilliseconds(transport_->unacknowledged_limit));
+    auto limit =
+        static_cast<unsigned>(WholeMilliseconds(transport_->ack_timeout));
     if (limit > 0)
       ::setsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT,
                    &limit, sizeof(limit));
@@ -189,17 +193,18 @@
     if (closed_)
       return;
     if (error) {
-      Forget();
+      CloseAndRemove();
       return;
     }
     transport_->counters.bytes_sent += bytes;
-    queued_ -= queue_.front().size();
+    queued_bytes_ -= queue_.front().size();
     queue_.pop_front();
     if (!queue_.empty())
       Write();
   }
 
-  void Forget() {
+  // Drops the queued frames. The next Send() opens a new connection.
+  void CloseAndRemove() {
     transport_->counters.dropped += queue_.size();
     auto self = shared_from_this();
     Close();
@@ -212,8 +217,8 @@
   std::shared_ptr<FrameTransport::Impl> transport_;
   tcp::socket socket_;
   std::deque<std::string> queue_;
-  size_t queued_ = 0;
-  Time opened_;
+  size_t queued_bytes_ = 0;
+  Time opened_at_;
   TimerId connect_timer_ = 0;
   bool connected_ = false;
   bool closed_ = false;
@@ -227,9 +232,10 @@
         if (error == asio::error::operation_aborted)
           return;
         if (!error && self->incoming.size() < kMaxConnections) {
-          auto link = std::make_shared<Incoming>(std::move(socket), self);
-          self->incoming.insert(link);
-          link->ReadLength();
+          auto connection =
+              std::make_shared<IncomingConnection>(std::move(socket), self);
+          self->incoming.insert(connection);
+          connection->ReadLength();
         }
         self->Accept();
       });
@@ -242,19 +248,19 @@
 
 FrameTransport::FrameTransport(EventLoop& loop,
                                std::function<void(std::string_view)> on_frame,
-                               Duration unacknowledged_limit)
+                               Duration ack_timeout)
     : impl_(std::make_shared<Impl>(loop, std::move(on_frame))) {
-  impl_->unacknowledged_limit = unacknowledged_limit;
+  impl_->ack_timeout = ack_timeout;
 }
 
 FrameTransport::~FrameTransport() {
   error_code ignored;
   impl_->acceptor.close(ignored);
   auto incoming = impl_->incoming;
-  for (const auto& link : incoming)
-    link->Close();
-  for (const auto& [endpoint, link] : impl_->outgoing)
-    link->Close();
+  for (const auto& connection : incoming)
+    connection->Close();
+  for (const auto& [endpoint, connection] : impl_->outgoing)
+    connection->Close();
   impl_->outgoing.clear();
 }
 
@@ -273,21 +279,22 @@
   ++impl_->counters.sent;
   auto it = impl_->outgoing.find(endpoint);
   if (it == impl_->outgoing.end()) {
-    auto link = std::make_shared<Outgoing>(endpoint, impl_);
-    it = impl_->outgoing.emplace(endpoint, link).first;
-    link->Connect();
+    auto connection = std::make_shared<OutgoingConnection>(endpoint, impl_);
+    it = impl_->outgoing.emplace(endpoint, connection).first;
+    connection->Connect();
   }
-  it->second->Send(Frame(payload));
+  it->second->Send(EncodeFrame(payload));
 }
 
-std::optional<Time> FrameTransport::opened(const Endpoint& endpoint) const {
+std::optional<Time> FrameTransport::outgoing_opened_at(
+    const Endpoint& endpoint) const {
   auto it = impl_->outgoing.find(endpoint);
   if (it == impl_->outgoing.end())
     return std::nullopt;
-  return it->second->opened();
+  return it->second->opened_at();
 }
 
-void FrameTransport::Drop(const Endpoint& endpoint) {
+void FrameTransport::CloseOutgoing(const Endpoint& endpoint) {
   auto it = impl_->outgoing.find(endpoint);
   if (it == impl_->outgoing.end())
     return;
--- a/radishmoor/net/frame_transport.h
+++ b/radishmoor/net/frame_transport.h
@@ -1,15 +1,17 @@
-// Frames between radishmoor's processes over TCP: a 4-byte length (big-endian)
-// and a payload.
+// Sends frames between radishmoor's processes over TCP. A frame is a 4-byte
+// length (big-endian) and a payload.
 //
 //   FrameTransport frames(loop, [](std::string_view payload) { ... });
 //   Endpoint bound = frames.Listen({"127.0.0.1", 0});
 //   frames.Send(endpoint, payload);
 //
-// Frames may be lost and are not retried. Each endpoint has one outgoing
-// connection; what its process sends arrives on that process's own connections.
+// Frames may be lost and are not retried. Connections carry frames in one
+// direction: this process opens one to each endpoint that it sends to, and
+// receives on those that other processes open.
 //
-// Limits: frames of kMaxFrame, kMaxQueued bytes waiting for each endpoint
-// (further frames are dropped), kMaxConnections incoming.
+// Limits: an incoming payload has at most kMaxFrameBytes, at most
+// kMaxQueuedBytes wait for each endpoint (further frames are dropped), and at
+// most kMaxConnections incoming connections are open (further ones are closed).
 
 #ifndef RADISHMOOR_NET_FRAME_TRANSPORT_H_
 #define RADISHMOOR_NET_FRAME_TRANSPORT_H_
@@ -30,35 +32,40 @@
 
 class FrameTransport {
  public:
-  static constexpr uint32_t kMaxFrame = 1024 * 1024;
-  static constexpr size_t kMaxQueued = 256 * 1024;
+  static constexpr uint32_t kMaxFrameBytes = 1024 * 1024;
+  static constexpr size_t kMaxQueuedBytes = 256 * 1024;
   static constexpr size_t kMaxConnections = 1024;
 
   struct Counters {
-    uint64_t sent = 0;
-    uint64_t dropped = 0;
-    uint64_t malformed = 0;
-    uint64_t reopened = 0;
+    uint64_t sent = 0;     // Frames given to Send(), dropped ones included.
+    uint64_t dropped = 0;  // Frames not sent: full queue or failed connection.
+    uint64_t malformed = 0;  // Incoming frames that are empty or too long.
+    uint64_t reopened = 0;   // Connections closed by CloseOutgoing().
     uint64_t bytes_sent = 0;
     uint64_t bytes_received = 0;
   };
 
-  // A connection that is not set up, or whose bytes are not acknowledged,
-  // within `unacknowledged_limit` is closed; 0 leaves that to the kernel.
+  // Closes an outgoing connection that is not established within `ack_timeout`,
+  // or whose bytes the peer's kernel does not acknowledge within that time; 0
+  // leaves both to the kernel's defaults.
   FrameTransport(EventLoop& loop,
                  std::function<void(std::string_view)> on_frame,
-                 Duration unacknowledged_limit = Duration::zero());
+                 Duration ack_timeout = Duration::zero());
   ~FrameTransport();
 
-  // Throws std::system_error when it cannot bind.
+  // Returns the bound endpoint; port 0 lets the kernel choose. Throws
+  // std::system_error if the address cannot be bound.
   Endpoint Listen(const Endpoint& endpoint);
 
+  // Opens a connection to `endpoint` if there is none.
   void Send(const Endpoint& endpoint, const std::string& payload);
 
-  // When the outgoing connection was opened; nothing if there is none.
-  std::optional<Time> opened(const Endpoint& endpoint) const;
-  // Closes the outgoing connection; the next frame opens a new one.
-  void Drop(const Endpoint& endpoint);
+  // Returns the time at which the outgoing connection to `endpoint` was
+  // started, or nullopt if there is none.
+  std::optional<Time> outgoing_opened_at(const Endpoint& endpoint) const;
+  // Closes the outgoing connection to `endpoint` and drops its queued frames.
+  // The next Send() opens a new connection.
+  void CloseOutgoing(const Endpoint& endpoint);
 
   const Counters& counters() const;
 
--- a/radishmoor/net/http_client.cc
+++ b/radishmoor/net/http_client.cc
@@ -74,13 +74,13 @@
       message.insert(name, value);
     message.body() = request.body;
     message.prepare_payload();
-    written_ = WireText(message);
+    serialized_request_ = SerializeMessage(message);
     response_.emplace();
     response_->body_limit(client_->max_response_bytes);
     response_->header_limit(64 * 1024);
     if (request.method == "HEAD")
       response_->skip(true);
-    asio::async_write(socket_, asio::buffer(written_),
+    asio::async_write(socket_, asio::buffer(serialized_request_),
                       [self = shared_from_this()](error_code error, size_t) {
                         if (error)
                           self->FailExchange(error.message());
@@ -102,8 +102,9 @@
  private:
   enum class State { kConnecting, kIdle, kBusy, kClosed };
 
-  // Ends the connection; later completions find it closed and do nothing.
-  void Forget() {
+  // Closes the connection. Completions that are still pending see kClosed and
+  // do nothing.
+  void CloseAndRemove() {
     Close();
     client_->connections.erase(id_);
   }
@@ -113,7 +114,7 @@
       return;
     auto self = shared_from_this();
     if (error) {
-      Forget();
+      CloseAndRemove();
       client_->handlers.on_open_failed(id_, error.message());
       return;
     }
@@ -131,22 +132,23 @@
       FailExchange(error.message());
       return;
     }
-    bool whole = !response_->need_eof() || response_->get().result_int() == 204;
-    if (!whole) {
+    bool complete =
+        !response_->need_eof() || response_->get().result_int() == 204;
+    if (!complete) {
       FailExchange("response without a length");
       return;
     }
-    // Bytes beyond the response belong to no request: the connection is out of
-    // step and must not carry another exchange.
+    // Bytes after the end of the response answer no request; the next exchange
+    // would read them as its response.
     bool reusable = response_->keep_alive() && buffer_.size() == 0;
     auto self = shared_from_this();
     HttpResponse response = ToResponse(response_->release());
-    written_.clear();
+    serialized_request_.clear();
     if (reusable) {
       state_ = State::kIdle;
       WatchForClose();
     } else {
-      Forget();
+      CloseAndRemove();
     }
     client_->handlers.on_response(id_, std::move(response), reusable);
   }
@@ -155,19 +157,20 @@
     if (state_ != State::kBusy)
       return;
     auto self = shared_from_this();
-    Forget();
+    CloseAndRemove();
     client_->handlers.on_exchange_failed(id_, error);
   }
 
-  // Anything that arrives on an idle connection, the end included, makes it
+  // Waits until an idle connection becomes readable. It is then closed, because
+  // bytes that arrive without a request, or the end of the stream, make it
   // unusable.
   void WatchForClose() {
-    if (watching_)
+    if (waiting_for_close_)
       return;
-    watching_ = true;
+    waiting_for_close_ = true;
     socket_.async_wait(LoopSocket::wait_read,
                        [self = shared_from_this()](error_code) {
-                         self->watching_ = false;
+                         self->waiting_for_close_ = false;
                          self->OnIdleReadable();
                        });
   }
@@ -176,7 +179,8 @@
     if (state_ != State::kIdle)
       return;
     error_code error;
-    // The wait may have been triggered by the bytes of the last response.
+    // The wait may have ended because of bytes of the last response, which were
+    // read in the meantime; the connection is then still usable.
     if (socket_.available(error) == 0 && !error) {
       char byte;
       ssize_t n =
@@ -187,7 +191,7 @@
       }
     }
     auto self = shared_from_this();
-    Forget();
+    CloseAndRemove();
     client_->handlers.on_closed(id_);
   }
 
@@ -195,10 +199,10 @@
   std::shared_ptr<HttpClient::Impl> client_;
   LoopSocket socket_;
   beast::flat_buffer buffer_;
-  std::string written_;
+  std::string serialized_request_;
   std::optional<http::response_parser<http::string_body>> response_;
   State state_ = State::kConnecting;
-  bool watching_ = false;
+  bool waiting_for_close_ = false;
 };
 
 }  // namespace
@@ -238,13 +242,15 @@
 
 namespace {
 
-// Start line, blank line and the length header that Beast adds.
+// Estimated size of the start line, the blank line and the Content-Length
+// header that Beast adds.
 constexpr uint64_t kFramingBytes = 40;
-// A time-out that is noticed this late shows that the process was kept from
-// running: the answer may have arrived and wait to be read. It then gets as
-// much time again, up to the limit.
-constexpr Duration kLateTimer = Milliseconds(5);
-constexpr Duration kMaxExtension = Milliseconds(500);
+// If the timer of a request fires later than its deadline by more than
+// kLateTimerThreshold, the process was not running in the meantime, and the
+// response may have arrived without being read. The deadline is then extended
+// once by that delay, up to kMaxDeadlineExtension.
+constexpr Duration kLateTimerThreshold = Milliseconds(5);
+constexpr Duration kMaxDeadlineExtension = Milliseconds(500);
 
 uint64_t WireBytes(const HttpHeaders& headers, const std::string& body) {
   uint64_t bytes = kFramingBytes + body.size();
@@ -268,27 +274,28 @@
 
   explicit Impl(EventLoop& event_loop)
       : loop(event_loop),
-        client(event_loop,
-               {.on_opened = [this](ConnectionId id) { Write(id); },
-                .on_open_failed =
-                    [this](ConnectionId id, std::string error) {
-                      Finish(id, Failure{false, std::move(error)});
-                    },
-                .on_response =
-                    [this](ConnectionId id, HttpResponse response, bool keep) {
-                      if (keep)
-                        idle[exchanges.at(id).endpoint].push_back(id);
-                      Finish(id, std::move(response));
-                    },
-                .on_exchange_failed =
-                    [this](ConnectionId id, std::string error) {
-                      Finish(id, Failure{true, std::move(error)});
-                    },
-                .on_closed =
-                    [this](ConnectionId id) {
-                      for (auto& [endpoint, ids] : idle)
-                        std::erase(ids, id);
-                    }}) {}
+        client(
+            event_loop,
+            {.on_opened = [this](ConnectionId id) { Write(id); },
+             .on_open_failed =
+                 [this](ConnectionId id, std::string error) {
+                   Finish(id, Failure{false, std::move(error)});
+                 },
+             .on_response =
+                 [this](ConnectionId id, HttpResponse response, bool reusable) {
+                   if (reusable)
+                     idle[exchanges.at(id).endpoint].push_back(id);
+                   Finish(id, std::move(response));
+                 },
+             .on_exchange_failed =
+                 [this](ConnectionId id, std::string error) {
+                   Finish(id, Failure{true, std::move(error)});
+                 },
+             .on_closed =
+                 [this](ConnectionId id) {
+                   for (auto& [endpoint, ids] : idle)
+                     std::erase(ids, id);
+                 }}) {}
 
   void Write(ConnectionId id) {
     auto it = exchanges.find(id);
@@ -301,8 +308,9 @@
     client.Send(id, it->second.request);
   }
 
-  // What made one connection silent may have struck the others as well.
-  void DropIdle(const Endpoint& endpoint) {
+  // Called after a time-out: its cause may have broken the idle connections to
+  // the same endpoint as well.
+  void CloseIdleConnections(const Endpoint& endpoint) {
     auto node = idle.extract(endpoint);
     if (node.empty())
       return;
@@ -320,14 +328,14 @@
     Exchange& exchange = exchanges.at(id);
     Time now = loop.now();
     Duration late = now - exchange.deadline;
-    if (late > kLateTimer && !exchange.extended) {
+    if (late > kLateTimerThreshold && !exchange.extended) {
       exchange.extended = true;
-      ArmTimer(id, now + std::min(late, kMaxExtension));
+      ArmTimer(id, now + std::min(late, kMaxDeadlineExtension));
       return;
     }
     bool sent = exchange.sent;
     client.Close(id);
-    DropIdle(exchange.endpoint);
+    CloseIdleConnections(exchange.endpoint);
     Finish(id, Failure{sent, "timed out"});
   }
 
--- a/radishmoor/net/http_client.h
+++ b/radishmoor/net/http_client.h
@@ -5,10 +5,10 @@
 //   client.Send(id, request);     // after on_opened; one exchange at a time
 //   client.Close(id);
 //
-// The client has no time-outs of its own: its user decides when to close. After
-// Close(id) no handler is called for that connection. A response counts only
-// when it is whole: one without a length that ends with the connection is a
-// failure, since a cut cannot be told from its end.
+// HttpClient has no time-outs; its user decides when to close a connection.
+// After Close(id) no handler is called for that connection. A response without
+// a length ends with the connection, so that a truncated one looks complete: it
+// is reported as a failed exchange.
 
 #ifndef RADISHMOOR_NET_HTTP_CLIENT_H_
 #define RADISHMOOR_NET_HTTP_CLIENT_H_
@@ -31,7 +31,7 @@
   std::function<void(ConnectionId, std::string error)> on_open_failed;
   // `reusable`: the connection may carry another exchange.
   std::function<void(ConnectionId, HttpResponse, bool reusable)> on_response;
-  // The exchange ended without a whole response. The connection is closed.
+  // The exchange ended without a complete response. The connection is closed.
   std::function<void(ConnectionId, std::string error)> on_exchange_failed;
   // The peer closed an idle connection.
   std::function<void(ConnectionId)> on_closed;
@@ -44,10 +44,12 @@
              uint64_t max_response_bytes = 8 * 1024 * 1024);
   ~HttpClient();
 
+  // Connects in the background; on_opened or on_open_failed follows. `id` must
+  // not be in use.
   void Open(ConnectionId id, const Endpoint& endpoint);
 
-  // Writes `request` on an open connection without an exchange in progress.
-  // False, with nothing written, if there is no such connection.
+  // Writes `request` on connection `id`. Returns false and writes nothing
+  // unless the connection is open and has no exchange in progress.
   bool Send(ConnectionId id, const HttpRequest& request);
 
   void Close(ConnectionId id);
@@ -60,7 +62,7 @@
   std::shared_ptr<Impl> impl_;
 };
 
-// Single requests to one endpoint with a time-out, over kept connections.
+// Sends single requests with a time-out and reuses idle connections.
 class HttpFetcher {
  public:
   struct Failure {
@@ -73,14 +75,16 @@
   explicit HttpFetcher(EventLoop& loop);
   ~HttpFetcher();
 
-  // Calls `callback` exactly once, not before Fetch returns. A process that is
-  // kept from running waits longer than `timeout`, by at most half a second.
+  // Calls `callback` exactly once, after Fetch() has returned. If the process
+  // does not run when the timer expires, the request ends up to 500 ms after
+  // the late timer, so that a response that has arrived is read first.
   void Fetch(const Endpoint& endpoint,
              HttpRequest request,
              Duration timeout,
              Callback callback);
 
-  // Requests and responses with their headers, as far as exchanged whole.
+  // Estimated bytes with headers. Sent bytes are counted when a request is
+  // written, received bytes when a response is complete.
   struct Counters {
     uint64_t bytes_sent = 0;
     uint64_t bytes_received = 0;
--- a/radishmoor/net/http_message.h
+++ b/radishmoor/net/http_message.h
@@ -14,7 +14,8 @@
 
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-// First value of a header, compared without case; nullopt when it is absent.
+// Returns the value of the first header named `name`, ignoring case, or nullopt
+// if there is none.
 std::optional<std::string_view> FindHeader(const HttpHeaders& headers,
                                            std::string_view name);
 
@@ -29,11 +30,11 @@
   unsigned status = 200;
   HttpHeaders headers;
   std::string body;
-  // Of a server: the connection ends with this response.
+  // For a response that a server sends: closes the connection after it.
   bool close = false;
 };
 
-// A TCP endpoint: an IP number and a port.
+// An IP address and a TCP port.
 struct Endpoint {
   std::string ip;
   uint16_t port = 0;
@@ -41,7 +42,8 @@
   friend auto operator<=>(const Endpoint&, const Endpoint&) = default;
 };
 
-// Parses "ip:port". Returns nullopt for anything else, names included.
+// Parses "ip:port". Returns nullopt for anything else; host names are not
+// resolved.
 std::optional<Endpoint> ParseEndpoint(std::string_view text);
 std::string FormatEndpoint(const Endpoint& endpoint);
 
--- a/radishmoor/net/http_server.cc
+++ b/radishmoor/net/http_server.cc
@@ -38,7 +38,7 @@
         acceptor(event_loop.io_context()) {}
 
   void Accept();
-  void Admit(LoopSocket socket);
+  void StartSession(LoopSocket socket);
 
   EventLoop& loop;
   HttpServerLimits limits;
@@ -74,15 +74,16 @@
   return 400;
 }
 
-// A connection: reads one request, waits for its response, writes it, repeats.
+// Serves the requests of one connection one after another: reads a request,
+// waits for Respond() and writes the response.
 class Session : public std::enable_shared_from_this<Session> {
  public:
   Session(LoopSocket socket, std::shared_ptr<HttpServer::Impl> server)
       : stream_(std::move(socket)),
         server_(std::move(server)),
-        number_(server_->next_connection++) {}
+        connection_number_(server_->next_connection++) {}
 
-  uint64_t number() const { return number_; }
+  uint64_t number() const { return connection_number_; }
 
   void Start() { AwaitRequest(); }
 
@@ -107,9 +108,9 @@
       Close();
       return;
     }
-    partial_ = std::move(partial);
+    partial_response_ = std::move(partial);
     asio::async_write(
-        stream_, asio::buffer(partial_),
+        stream_, asio::buffer(partial_response_),
         [self = shared_from_this()](error_code, size_t) { self->Close(); });
   }
 
@@ -122,8 +123,8 @@
       ReadRequest();
       return;
     }
-    // The read time-out runs from the first byte, so that an idle connection
-    // is not taken for a slow sender.
+    // The read time-out starts with the first bytes of a request, so that an
+    // idle connection is not closed as a slow sender.
     stream_.expires_after(server_->limits.idle_timeout);
     stream_.async_read_some(
         buffer_.prepare(4096),
@@ -162,20 +163,20 @@
       return;
     }
     if (error) {
-      RefuseInput(error);
+      RejectInput(error);
       return;
     }
     state_ = State::kProcessing;
     keep_alive_ = parser_->get().keep_alive();
-    head_ = parser_->get().method() == http::verb::head;
+    is_head_request_ = parser_->get().method() == http::verb::head;
     exchange_ = server_->next_exchange++;
     server_->exchanges.emplace(exchange_, shared_from_this());
     WatchForClose();
     server_->handlers.on_request(exchange_, ToRequest(parser_->release()));
   }
 
-  void RefuseInput(error_code error) {
-    // A timed-out stream is already closed by Beast.
+  void RejectInput(error_code error) {
+    // Beast has closed the socket if the read timed out.
     if (!stream_.socket().is_open()) {
       Close();
       return;
@@ -188,20 +189,23 @@
     Write(std::move(response), false);
   }
 
-  // Learns that the caller closed the connection while its request is being
-  // processed. Reads nothing: bytes of a next request stay in the kernel.
+  // Detects that the caller closes the connection while its request is
+  // processed. Reads nothing, so that the bytes of a next request stay in the
+  // socket.
   void WatchForClose() {
-    if (watching_)
+    if (waiting_for_close_)
       return;
-    watching_ = true;
+    waiting_for_close_ = true;
     stream_.socket().async_wait(
         LoopSocket::wait_read, [self = shared_from_this()](error_code error) {
-          self->watching_ = false;
+          self->waiting_for_close_ = false;
           if (!error && self->state_ == State::kProcessing)
             self->CheckClosed();
         });
   }
 
+  // Stops watching if bytes of a next request have arrived: a close behind them
+  // cannot be seen without reading them.
   void CheckClosed() {
     char byte;
     ssize_t n = ::recv(stream_.socket().native_handle(), &byte, 1,
@@ -228,19 +232,19 @@
     message.body() = std::move(response.body);
     message.keep_alive(keep_alive);
     message.prepare_payload();
-    if (head_)
+    if (is_head_request_)
       message.body().clear();
-    written_ = WireText(message);
+    serialized_response_ = SerializeMessage(message);
     stream_.expires_after(server_->limits.write_timeout);
     asio::async_write(
-        stream_, asio::buffer(written_),
+        stream_, asio::buffer(serialized_response_),
         [self = shared_from_this(), keep_alive](error_code error, size_t) {
           self->OnWritten(error, keep_alive);
         });
   }
 
   void OnWritten(error_code error, bool keep_alive) {
-    written_.clear();
+    serialized_response_.clear();
     if (error || !keep_alive || !server_->accepting) {
       Close();
       return;
@@ -250,16 +254,16 @@
 
   LoopStream stream_;
   std::shared_ptr<HttpServer::Impl> server_;
-  uint64_t number_;
+  uint64_t connection_number_;
   beast::flat_buffer buffer_;
   std::optional<http::request_parser<http::string_body>> parser_;
-  std::string written_;
-  std::string partial_;
+  std::string serialized_response_;
+  std::string partial_response_;
   State state_ = State::kIdle;
   ExchangeId exchange_ = 0;
   bool keep_alive_ = true;
-  bool head_ = false;
-  bool watching_ = false;
+  bool is_head_request_ = false;
+  bool waiting_for_close_ = false;
 };
 
 }  // namespace
@@ -270,14 +274,14 @@
         if (self->closed || !self->accepting)
           return;
         if (!error)
-          self->Admit(std::move(socket));
+          self->StartSession(std::move(socket));
         self->Accept();
       });
 }
 
-void HttpServer::Impl::Admit(LoopSocket socket) {
+void HttpServer::Impl::StartSession(LoopSocket socket) {
   if (sessions.size() >= limits.max_connections)
-    return;  // Closes the socket: the caller sees the connection end.
+    return;  // The destructor of `socket` closes the connection.
   error_code ignored;
   socket.set_option(tcp::no_delay(true), ignored);
   auto session =
--- a/radishmoor/net/http_server.h
+++ b/radishmoor/net/http_server.h
@@ -1,8 +1,9 @@
-// HTTP/1.1 server with hard limits, one exchange at a time on each connection.
+// HTTP/1.1 server with hard limits on size and time. Each connection carries
+// one exchange at a time.
 //
 //   HttpServer server(loop, limits, {.on_request = ..., .on_abandoned = ...});
 //   Endpoint bound = server.Listen({"127.0.0.1", 0});
-//   server.Respond(exchange, response);   // later, once for each exchange
+//   server.Respond(exchange, response);   // Once for each on_request.
 //
 // A connection that sends malformed or oversized input is answered with 400,
 // 413 or 431 and closed; one that sends too slowly is closed without an answer.
@@ -23,7 +24,7 @@
 
 class EventLoop;
 
-// One request and its response on a connection. Never reused.
+// Identifies one request and its response. Never reused within a server.
 using ExchangeId = uint64_t;
 
 struct HttpServerLimits {
@@ -32,7 +33,8 @@
   uint32_t max_connections = 12'000;
   // From the first byte of a request to its last.
   Duration read_timeout = Seconds(5);
-  // Between requests on a connection.
+  // From the end of a response, or the start of the connection, to the first
+  // byte of the next request.
   Duration idle_timeout = Seconds(120);
   // For writing a whole response.
   Duration write_timeout = Seconds(10);
@@ -40,10 +42,11 @@
 
 struct HttpServerHandlers {
   std::function<void(ExchangeId, HttpRequest)> on_request;
-  // The caller closed the connection before the response was written. No
-  // response may follow, and a Respond() that does is ignored.
+  // The caller closed the connection before Respond(). A later Respond() for
+  // this exchange is ignored.
   std::function<void(ExchangeId)> on_abandoned;
-  // Builds the response to input that is refused before on_request. Optional.
+  // Builds the response to malformed or oversized input, which does not reach
+  // on_request. Optional; without it the response has the status only.
   std::function<HttpResponse(unsigned status, std::string reason)> on_bad_input;
 };
 
@@ -65,14 +68,16 @@
   // Sends the response of an exchange. Ignored if the exchange has ended.
   void Respond(ExchangeId exchange, HttpResponse response);
 
-  // Closes the connection of an exchange without a response, or after half of
-  // it when `partial` holds bytes. For fault injection in stand-ins.
+  // Closes the connection of an exchange without a response. If `partial` is
+  // not empty, writes it first, as the start of a truncated response. For fault
+  // injection in stand-ins.
   void Abort(ExchangeId exchange, std::string partial = {});
 
-  // Connections are numbered from 1 in the order of their acceptance. 0 for an
-  // exchange that has ended.
+  // Returns the number of the connection that carries `exchange`, or 0 if the
+  // exchange has ended. Connections are numbered from 1 in the order in which
+  // they are accepted.
   uint64_t ConnectionOf(ExchangeId exchange) const;
-  // The number of the next connection.
+  // Returns the number that the next accepted connection will have.
   uint64_t next_connection() const;
 
   size_t connection_count() const;
--- a/radishmoor/net/peer_codec.h
+++ b/radishmoor/net/peer_codec.h
@@ -1,5 +1,5 @@
-// Encoding of messages between radishmoor's processes: Thrift's compact
-// protocol by the schema idl/peer.thrift.
+// Encodes messages between radishmoor's processes in Thrift's compact protocol,
+// with the schema idl/peer.thrift.
 
 #ifndef RADISHMOOR_NET_PEER_CODEC_H_
 #define RADISHMOOR_NET_PEER_CODEC_H_
@@ -16,13 +16,13 @@
 
 struct PeerEnvelope {
   MemberId sender;
-  HybridTime stamp;
+  HybridTime stamp;  // Time of sending, by the sender's hybrid clock.
   PeerMessage message;
 };
 
 std::string EncodePeerEnvelope(const PeerEnvelope& envelope);
 
-// Absent for bytes that are no valid envelope. Allocates at most a small
+// Returns nullopt if `bytes` is not a valid envelope. Allocates at most a small
 // multiple of the size of `bytes`.
 std::optional<PeerEnvelope> DecodePeerEnvelope(std::string_view bytes);
 
--- a/radishmoor/net/peer_transport.cc
+++ b/radishmoor/net/peer_transport.cc
@@ -9,7 +9,7 @@
 namespace radishmoor {
 namespace {
 
-// The address that the sender of a message announces as its own.
+// Returns the peer address that the sender gives in `message`, if any.
 std::optional<Endpoint> AnnouncedAddress(const PeerMessage& message) {
   if (auto* hello = std::get_if<PeerHello>(&message))
     return ParseEndpoint(hello->address);
@@ -28,14 +28,16 @@
                [this](std::string_view payload) { Receive(payload); }) {}
 
   void Receive(std::string_view payload);
-  // The peer sent nothing for kSilence while the connection to it was open.
+  // Whether the connection to `endpoint` is older than kMaxPeerSilence and its
+  // member has sent nothing for that long. False if the member is not known.
   bool IsSilent(const Endpoint& endpoint);
 
   EventLoop& loop;
   std::function<void(PeerEnvelope)> on_message;
   FrameTransport frames;
   std::map<MemberId, Time> last_received;
-  std::map<Endpoint, MemberId> member_at;  // From the peers' own messages.
+  // Members by the peer address that they announced.
+  std::map<Endpoint, MemberId> member_at;
   uint64_t received = 0;
   uint64_t malformed = 0;
   Counters counters;
@@ -59,12 +61,12 @@
 
 bool PeerTransport::Impl::IsSilent(const Endpoint& endpoint) {
   Time now = loop.now();
-  std::optional<Time> opened = frames.opened(endpoint);
-  if (!opened || now - *opened <= kSilence)
+  std::optional<Time> opened_at = frames.outgoing_opened_at(endpoint);
+  if (!opened_at || now - *opened_at <= kMaxPeerSilence)
     return false;
   auto member = member_at.find(endpoint);
   return member != member_at.end() &&
-         now - last_received[member->second] > kSilence;
+         now - last_received[member->second] > kMaxPeerSilence;
 }
 
 PeerTransport::PeerTransport(EventLoop& loop,
@@ -80,7 +82,7 @@
 void PeerTransport::Send(const Endpoint& endpoint,
                          const PeerEnvelope& envelope) {
   if (impl_->IsSilent(endpoint))
-    impl_->frames.Drop(endpoint);
+    impl_->frames.CloseOutgoing(endpoint);
   impl_->frames.Send(endpoint, EncodePeerEnvelope(envelope));
 }
 
--- a/radishmoor/net/peer_transport.h
+++ b/radishmoor/net/peer_transport.h
@@ -1,16 +1,18 @@
-// Messages between radishmoor's processes: frames (frame_transport.h) that hold
-// an encoded envelope (peer_codec.h).
+// Sends messages between radishmoor's processes. Each message is an encoded
+// envelope (peer_codec.h) in one frame (frame_transport.h).
 //
-//   PeerTransport transport(loop, self, zone, on_message);
+//   PeerTransport transport(loop, on_message);
 //   Endpoint bound = transport.Listen({"127.0.0.1", 0});
-//   transport.Send(MemberId("entry-2"), endpoint, envelope);
+//   transport.Send(endpoint, envelope);
 //
-// Messages may be lost and are not retried; the slices that send them repeat
-// what matters. Each peer has one outgoing connection; what it sends arrives on
-// its own. A connection whose peer sent nothing for kSilence while messages
-// went out is opened anew, since something between the ends may have lost it.
+// Messages may be lost and are not retried; senders repeat those that must
+// arrive. Connections carry messages in one direction, as in frame_transport.h.
+// If a peer has sent nothing for kMaxPeerSilence, the connection to it is
+// closed and opened again with the next message, because a device on the path
+// may have dropped the connection without either end noticing.
 //
-// Limits: those of frame_transport.h, and kMaxConnections known peers.
+// Limits: those of frame_transport.h. The silence of at most kMaxConnections
+// peers is watched.
 
 #ifndef RADISHMOOR_NET_PEER_TRANSPORT_H_
 #define RADISHMOOR_NET_PEER_TRANSPORT_H_
@@ -31,14 +33,14 @@
 class PeerTransport {
  public:
   static constexpr size_t kMaxConnections = 1024;
-  static constexpr Duration kSilence = Seconds(5);
+  static constexpr Duration kMaxPeerSilence = Seconds(5);
 
   struct Counters {
-    uint64_t sent = 0;
+    uint64_t sent = 0;  // Messages given to Send(), dropped ones included.
     uint64_t received = 0;
-    uint64_t dropped = 0;
-    uint64_t malformed = 0;
-    uint64_t reopened = 0;
+    uint64_t dropped = 0;    // Not sent: full queue or failed connection.
+    uint64_t malformed = 0;  // Frames or envelopes that could not be decoded.
+    uint64_t reopened = 0;   // Connections closed because the peer was silent.
     uint64_t bytes_sent = 0;
     uint64_t bytes_received = 0;
   };
@@ -46,7 +48,8 @@
   PeerTransport(EventLoop& loop, std::function<void(PeerEnvelope)> on_message);
   ~PeerTransport();
 
-  // Throws std::system_error when it cannot bind.
+  // Returns the bound endpoint; port 0 lets the kernel choose. Throws
+  // std::system_error if the address cannot be bound.
   Endpoint Listen(const Endpoint& endpoint);
 
   void Send(const Endpoint& endpoint, const PeerEnvelope& envelope);
--- a/radishmoor/net/store_client.cc
+++ b/radishmoor/net/store_client.cc
@@ -9,7 +9,7 @@
 namespace radishmoor {
 namespace {
 
-constexpr uint32_t kMaxOutstanding = 64;
+constexpr uint32_t kMaxOutstandingRequests = 64;
 
 }  // namespace
 
@@ -21,11 +21,12 @@
   Counters counters;
   uint32_t outstanding = 0;
 
-  StoreReply Convert(const StoreRequest& request, HttpFetcher::Result result);
+  StoreReply ToStoreReply(const StoreRequest& request,
+                          HttpFetcher::Result result);
 };
 
-StoreReply StoreClient::Impl::Convert(const StoreRequest& request,
-                                      HttpFetcher::Result result) {
+StoreReply StoreClient::Impl::ToStoreReply(const StoreRequest& request,
+                                           HttpFetcher::Result result) {
   if (auto* failure = std::get_if<HttpFetcher::Failure>(&result)) {
     if (!failure->sent) {
       ++counters.unavailable;
@@ -41,7 +42,7 @@
       ++counters.unavailable;
     return reply;
   } catch (const StoreFormatError& error) {
-    // An answer that cannot be read does not tell whether a write took effect.
+    // Without a readable answer, a write may or may not have taken effect.
     ++counters.unknown;
     return UnknownReply{error.what()};
   }
@@ -60,10 +61,10 @@
   if (std::holds_alternative<CommitRows>(request) ||
       std::holds_alternative<PutObject>(request))
     ++impl_->counters.writes;
-  if (impl_->outstanding >= kMaxOutstanding) {
+  if (impl_->outstanding >= kMaxOutstandingRequests) {
     ++impl_->counters.unavailable;
     impl_->loop.Post([callback = std::move(callback)] {
-      callback(UnavailableReply{"too many outstanding requests"});
+      callback(UnavailableReply{"too many outstanding store requests"});
     });
     return;
   }
@@ -77,7 +78,7 @@
         if (!self)
           return;
         --self->outstanding;
-        callback(self->Convert(request, std::move(result)));
+        callback(self->ToStoreReply(request, std::move(result)));
       });
 }
 
--- a/radishmoor/net/store_client.h
+++ b/radishmoor/net/store_client.h
@@ -1,5 +1,5 @@
-// The platform's table service, object store and host list, reached over HTTP.
-// Another platform is supported by replacing store_client.cc.
+// Client of the platform's table service, object store and host list over HTTP.
+// Supporting another platform means replacing store_client.cc.
 //
 //   StoreClient store(loop, endpoint, Seconds(2));
 //   store.Execute(ReadRows{{"config/head"}}, [](StoreReply reply) { ... });
@@ -21,25 +21,25 @@
 
 class StoreClient {
  public:
-  // `timeout` bounds each request. At most 64 requests are outstanding; more
-  // are answered with UnavailableReply, so that a slow store cannot make this
-  // process hold unbounded memory.
+  // `timeout` applies to each request. At most 64 requests are outstanding;
+  // further ones get UnavailableReply, so that a slow store cannot make the
+  // memory of this process grow without bound.
   StoreClient(EventLoop& loop, const Endpoint& endpoint, Duration timeout);
   ~StoreClient();
 
-  // Calls `callback` exactly once, not before Execute returns. A request that
-  // was sent and not answered gives UnknownReply, one that was not sent
-  // UnavailableReply.
+  // Calls `callback` exactly once, after Execute() has returned, unless this
+  // object is destroyed first. The reply is UnknownReply if the request was
+  // sent but its answer is missing or cannot be decoded, and UnavailableReply
+  // if it was not sent or the platform answered that it had no effect.
   void Execute(const StoreRequest& request,
                std::function<void(StoreReply)> callback);
 
-  // Requests by kind of reply, for the metrics endpoint.
   struct Counters {
     uint64_t requests = 0;
-    uint64_t writes = 0;  // Of these, transactions and objects written.
-    uint64_t unavailable = 0;
-    uint64_t unknown = 0;
-    uint64_t bytes_sent = 0;  // With HTTP headers.
+    uint64_t writes = 0;       // Requests that are CommitRows or PutObject.
+    uint64_t unavailable = 0;  // Requests with UnavailableReply.
+    uint64_t unknown = 0;      // Requests with UnknownReply.
+    uint64_t bytes_sent = 0;   // Estimated, with HTTP headers.
     uint64_t bytes_received = 0;
   };
   const Counters& counters() const;
--- a/radishmoor/net/store_json.cc
+++ b/radishmoor/net/store_json.cc
@@ -17,21 +17,22 @@
 constexpr std::string_view kObjectPath = "/object/";
 constexpr std::string_view kObjectsPath = "/objects?prefix=";
 
-HttpRequest Post(std::string target, const json::object& body) {
+HttpRequest MakePost(std::string target, const json::object& body) {
   return {"POST",
           std::move(target),
           {{"Content-Type", "application/json"}},
           json::serialize(body)};
 }
 
-HttpResponse Json(unsigned status, const json::object& body) {
+HttpResponse MakeJsonResponse(unsigned status, const json::object& body) {
   return {
       status, {{"Content-Type", "application/json"}}, json::serialize(body)};
 }
 
-// JSON strings hold text only. A value with other bytes than ASCII is sent as
-// hexadecimal digits in "value_hex".
-void PutValue(json::object& object, const std::string& value) {
+// Adds a row value to `object`. JSON strings must be valid UTF-8, which a value
+// need not be: one with bytes outside ASCII goes as hexadecimal digits into
+// "value_hex" instead of "value".
+void AddRowValue(json::object& object, const std::string& value) {
   bool ascii = std::all_of(value.begin(), value.end(), [](char c) {
     return static_cast<unsigned char>(c) < 0x80;
   });
@@ -44,7 +45,7 @@
   object["value_hex"] = digits;
 }
 
-std::string TakeValue(const json::object& object) {
+std::string RowValueFromJson(const json::object& object) {
   const json::value* digits = object.if_contains("value_hex");
   if (digits == nullptr)
     return std::string(object.at("value").as_string());
@@ -58,7 +59,7 @@
   json::array array;
   for (const Row& row : rows) {
     json::object object{{"key", row.key}, {"version", row.version}};
-    PutValue(object, row.value);
+    AddRowValue(object, row.value);
     array.push_back(std::move(object));
   }
   return array;
@@ -73,7 +74,8 @@
   for (const json::value& item : object.at("rows").as_array()) {
     const json::object& row = item.as_object();
     rows.push_back({Text(row.at("key")),
-                    row.at("version").to_number<RowVersion>(), TakeValue(row)});
+                    row.at("version").to_number<RowVersion>(),
+                    RowValueFromJson(row)});
   }
   return rows;
 }
@@ -85,7 +87,7 @@
   json::array writes;
   for (const RowWrite& w : transaction.writes) {
     json::object object{{"key", w.key}, {"remove", w.remove}};
-    PutValue(object, w.value);
+    AddRowValue(object, w.value);
     writes.push_back(std::move(object));
   }
   return {{"operation", transaction.operation.value},
@@ -104,12 +106,12 @@
   for (const json::value& item : object.at("writes").as_array()) {
     const json::object& w = item.as_object();
     transaction.writes.push_back(
-        {Text(w.at("key")), TakeValue(w), w.at("remove").as_bool()});
+        {Text(w.at("key")), RowValueFromJson(w), w.at("remove").as_bool()});
   }
   return transaction;
 }
 
-std::string_view StateName(HostListState state) {
+std::string_view HostListStateName(HostListState state) {
   switch (state) {
     case HostListState::kLive:
       return "live";
@@ -121,14 +123,14 @@
   return "live";
 }
 
-HostListState StateFromName(std::string_view name) {
+HostListState HostListStateFromName(std::string_view name) {
   if (name == "live")
     return HostListState::kLive;
   if (name == "leaving")
     return HostListState::kLeaving;
   if (name == "terminated")
     return HostListState::kTerminated;
-  throw StoreFormatError("unknown host state: " + std::string(name));
+  throw StoreFormatError("unknown state in host list: " + std::string(name));
 }
 
 HostListReply HostListFromJson(const json::object& object) {
@@ -136,7 +138,7 @@
   for (const json::value& item : object.at("hosts").as_array()) {
     const json::object& host = item.as_object();
     reply.hosts.push_back({Text(host.at("name")),
-                           StateFromName(Text(host.at("state"))),
+                           HostListStateFromName(Text(host.at("state"))),
                            host.at("instance").to_number<uint64_t>()});
   }
   return reply;
@@ -157,7 +159,7 @@
   }
   if (request.target == "/table/commit")
     return CommitRows{TransactionFromJson(body)};
-  throw StoreFormatError("no such target: " + request.target);
+  throw StoreFormatError("no such store request: " + request.target);
 }
 
 StoreReply DecodeSuccess(const StoreRequest& request,
@@ -199,7 +201,8 @@
   if (response.status == 404)
     return ObjectReply{};
   if (response.status != 200)
-    throw StoreFormatError("status " + std::to_string(response.status));
+    throw StoreFormatError("unexpected HTTP status " +
+                           std::to_string(response.status));
   return DecodeSuccess(request, response);
 }
 
@@ -210,14 +213,15 @@
       [](const auto& r) -> HttpRequest {
         using T = std::decay_t<decltype(r)>;
         if constexpr (std::is_same_v<T, ReadRows>) {
-          return Post("/table/read",
-                      {{"keys", json::array(r.keys.begin(), r.keys.end())}});
+          return MakePost(
+              "/table/read",
+              {{"keys", json::array(r.keys.begin(), r.keys.end())}});
         } else if constexpr (std::is_same_v<T, ScanRows>) {
-          return Post(
+          return MakePost(
               "/table/scan",
               {{"prefix", r.prefix}, {"after", r.after}, {"limit", r.limit}});
         } else if constexpr (std::is_same_v<T, CommitRows>) {
-          return Post("/table/commit", TransactionToJson(r.transaction));
+          return MakePost("/table/commit", TransactionToJson(r.transaction));
         } else if constexpr (std::is_same_v<T, PutObject>) {
           return {"PUT", std::string(kObjectPath) + r.key, {}, r.data};
         } else if constexpr (std::is_same_v<T, ReadObject>) {
@@ -251,7 +255,7 @@
   } catch (const std::exception& error) {
     throw StoreFormatError(error.what());
   }
-  throw StoreFormatError("no such target: " + request.target);
+  throw StoreFormatError("no such store request: " + request.target);
 }
 
 HttpResponse EncodeStoreReply(const StoreReply& reply) {
@@ -259,25 +263,27 @@
       [](const auto& r) -> HttpResponse {
         using T = std::decay_t<decltype(r)>;
         if constexpr (std::is_same_v<T, RowsReply>) {
-          return Json(200, {{"rows", RowsToJson(r.rows)}});
+          return MakeJsonResponse(200, {{"rows", RowsToJson(r.rows)}});
         } else if constexpr (std::is_same_v<T, CommittedReply>) {
-          return Json(200, {{"versions", json::array(r.versions.begin(),
-                                                     r.versions.end())}});
+          return MakeJsonResponse(
+              200, {{"versions",
+                     json::array(r.versions.begin(), r.versions.end())}});
         } else if constexpr (std::is_same_v<T, ConflictReply>) {
-          return Json(409, {{"rows", RowsToJson(r.rows)}});
+          return MakeJsonResponse(409, {{"rows", RowsToJson(r.rows)}});
         } else if constexpr (std::is_same_v<T, ObjectReply>) {
           return {r.found ? 200u : 404u, {}, r.data};
         } else if constexpr (std::is_same_v<T, ObjectListReply>) {
-          return Json(200,
-                      {{"keys", json::array(r.keys.begin(), r.keys.end())}});
+          return MakeJsonResponse(
+              200, {{"keys", json::array(r.keys.begin(), r.keys.end())}});
         } else if constexpr (std::is_same_v<T, HostListReply>) {
           json::array hosts;
           for (const HostListEntry& host : r.hosts) {
-            hosts.push_back(json::object{{"name", host.name},
-                                         {"state", StateName(host.state)},
-                                         {"instance", host.instance}});
+            hosts.push_back(
+                json::object{{"name", host.name},
+                             {"state", HostListStateName(host.state)},
+                             {"instance", host.instance}});
           }
-          return Json(200, {{"hosts", std::move(hosts)}});
+          return MakeJsonResponse(200, {{"hosts", std::move(hosts)}});
         } else {
           return {503, {}, r.reason};
         }
--- a/radishmoor/net/store_json.h
+++ b/radishmoor/net/store_json.h
@@ -1,5 +1,5 @@
-// The platform's HTTP and JSON form of store requests and replies. The store
-// client and the platform stand-in share it, so that both sides agree.
+// Encodes store requests and replies as HTTP messages with JSON bodies. Used by
+// the store client and by the platform stand-in.
 //
 //   POST /table/read    {"keys": [...]}                   -> {"rows": [...]}
 //   POST /table/scan    {"prefix", "after", "limit"}      -> {"rows": [...]}
@@ -8,7 +8,8 @@
 //   PUT  /object/<key>, GET /object/<key>, GET /objects?prefix=<prefix>
 //   GET  /hosts                                           -> {"hosts": [...]}
 //
-// 503 says that the request had no effect.
+// A row is {"key", "version", "value"}; a value with bytes outside ASCII is in
+// "value_hex" instead. Status 503 means that the request had no effect.
 
 #ifndef RADISHMOOR_NET_STORE_JSON_H_
 #define RADISHMOOR_NET_STORE_JSON_H_
@@ -20,7 +21,7 @@
 
 namespace radishmoor {
 
-// A message that does not have the form above.
+// Thrown for a message that does not have the form above.
 class StoreFormatError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -31,7 +32,7 @@
 StoreRequest DecodeStoreRequest(const HttpRequest& request);
 
 HttpResponse EncodeStoreReply(const StoreReply& reply);
-// `request` is the one that the response answers. Throws StoreFormatError.
+// Decodes the response to `request`. Throws StoreFormatError.
 StoreReply DecodeStoreReply(const StoreRequest& request,
                             const HttpResponse& response);
 
--- a/radishmoor/net/testing/http_test.cc
+++ b/radishmoor/net/testing/http_test.cc
@@ -11,14 +11,15 @@
 namespace radishmoor {
 namespace {
 
-size_t Count(const HttpHeaders& headers, const std::string& name) {
+size_t CountHeaders(const HttpHeaders& headers, const std::string& name) {
   size_t count = 0;
   for (const auto& header : headers)
     count += header.first == name ? 1 : 0;
   return count;
 }
 
-// Sends one request to a server with the given handler and returns the result.
+// Sends `request` to a server that calls `handle` and returns the result of the
+// fetch.
 HttpFetcher::Result Exchange(
     const HttpRequest& request,
     const std::function<void(HttpServer&, ExchangeId, const HttpRequest&)>&
@@ -43,24 +44,24 @@
   return result;
 }
 
-// Guards against a repeated header, such as Set-Cookie, that is cut down to its
-// last value on the way: the answer would not be whole.
-TEST_CASE("repeated headers pass in both directions") {
+// Guards against code that keeps only the last value of a repeated header, such
+// as Set-Cookie.
+TEST_CASE("repeated headers are kept in requests and responses") {
   size_t received = 0;
   HttpRequest request{"GET", "/", {{"Accept", "a"}, {"Accept", "b"}}, ""};
   auto result = Exchange(request, [&](HttpServer& server, ExchangeId id,
                                       const HttpRequest& r) {
-    received = Count(r.headers, "Accept");
+    received = CountHeaders(r.headers, "Accept");
     server.Respond(id, {200, {{"Set-Cookie", "a"}, {"Set-Cookie", "b"}}, "x"});
   });
   REQUIRE(received == 2);
   const auto& response = std::get<HttpResponse>(result);
-  REQUIRE(Count(response.headers, "Set-Cookie") == 2);
+  REQUIRE(CountHeaders(response.headers, "Set-Cookie") == 2);
   REQUIRE(response.body == "x");
 }
 
-// Guards against a cut answer that counts as a whole one.
-TEST_CASE("an answer that ends before its length is a failure") {
+// Guards against a truncated response that is taken for a complete one.
+TEST_CASE("a response shorter than its Content-Length is a failure") {
   auto result =
       Exchange({}, [](HttpServer& server, ExchangeId id, const HttpRequest&) {
         server.Abort(id, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
@@ -68,8 +69,9 @@
   REQUIRE(std::get<HttpFetcher::Failure>(result).sent);
 }
 
-// Guards against an answer without a length: its end cannot be told from a cut.
-TEST_CASE("an answer without a length is a failure") {
+// Guards against a truncated response that is taken for a complete one: without
+// a length, both end with the connection.
+TEST_CASE("a response without a length is a failure") {
   auto result =
       Exchange({}, [](HttpServer& server, ExchangeId id, const HttpRequest&) {
         server.Abort(id, "HTTP/1.1 200 OK\r\n\r\nall or half");
@@ -77,10 +79,10 @@
   REQUIRE(std::holds_alternative<HttpFetcher::Failure>(result));
 }
 
-// Guards against a process that was kept from running and takes answers that
-// have arrived in the meantime for lost ones.
-TEST_CASE("an answer that came while the process stood still counts") {
-  constexpr size_t kBodyBytes = 200'000;  // Several reads.
+// Guards against false time-outs: after the process was stopped for a while,
+// the timer expires before the response that arrived meanwhile is read.
+TEST_CASE("a response that arrives while the process is stopped is not lost") {
+  constexpr size_t kBodyBytes = 200'000;  // Takes several reads.
   EventLoop server_loop;
   std::optional<HttpServer> server;
   server.emplace(
@@ -104,7 +106,8 @@
                   result = std::move(r);
                   loop.Stop();
                 });
-  // From after the request was sent, and before its answer.
+  // Blocks the loop after the request is sent and before the response is, until
+  // after the deadline.
   loop.RunAfter(Milliseconds(20), [] {
     std::this_thread::sleep_for(std::chrono::milliseconds(400));
   });
@@ -117,7 +120,7 @@
 
 // Guards against callers that stay connected to a process that cannot serve
 // them.
-TEST_CASE("a response can end its connection") {
+TEST_CASE("a response with `close` set closes its connection") {
   auto result =
       Exchange({}, [](HttpServer& server, ExchangeId id, const HttpRequest&) {
         HttpResponse response{503, {}, "elsewhere"};
--- a/radishmoor/net/testing/store_json_test.cc
+++ b/radishmoor/net/testing/store_json_test.cc
@@ -13,9 +13,10 @@
   return transaction;
 }
 
-// Guards against values that JSON cannot hold: the stored answers of claims are
-// arbitrary bytes, and a platform that cannot parse a commit refuses it.
-TEST_CASE("transactions survive the wire with every byte value") {
+// Guards against commits that the platform refuses because it cannot parse
+// them: the answers stored in claim rows are arbitrary bytes, JSON strings are
+// not.
+TEST_CASE("row values with any bytes survive encoding and decoding") {
   std::string value;
   for (int byte = 0; byte < 256; ++byte)
     value.push_back(static_cast<char>(byte));
@@ -34,9 +35,9 @@
   }
 }
 
-// Guards against a refusal that took no effect being read as an unknown one, or
-// the reverse.
-TEST_CASE("replies keep their kind") {
+// Guards against a refusal without effect that is decoded as an unknown
+// outcome, or the reverse.
+TEST_CASE("store replies decode to the type that was encoded") {
   CommitRows commit{SampleTransaction("x")};
   StoreReply conflict = DecodeStoreReply(
       commit, EncodeStoreReply(ConflictReply{{{"b", 3, "y"}}}));
