--- a/radishmoor/service/admin_server.cc
+++ b/radishmoor/service/admin_server.cc
@@ -8,8 +8,8 @@
 namespace radishmoor {
 namespace {
 
-HttpResponse Typed(std::string_view type, std::string body) {
-  return {200, {{"Content-Type", std::string(type)}}, std::move(body)};
+HttpResponse OkResponse(std::string_view content_type, std::string body) {
+  return {200, {{"Content-Type", std::string(content_type)}}, std::move(body)};
 }
 
 }  // namespace
@@ -20,7 +20,7 @@
               {},
               {.on_request =
                    [this](ExchangeId id, const HttpRequest& request) {
-                     server_.Respond(id, Page(request));
+                     server_.Respond(id, HandleRequest(request));
                    },
                .on_abandoned = [](ExchangeId) {}}) {}
 
@@ -28,7 +28,7 @@
   return server_.Listen(endpoint);
 }
 
-HttpResponse AdminServer::Page(const HttpRequest& request) const {
+HttpResponse AdminServer::HandleRequest(const HttpRequest& request) const {
   std::string_view path = request.target;
   path = path.substr(0, path.find('?'));
   if (path == "/healthz")
@@ -38,11 +38,11 @@
     return {ready ? 200u : 503u, {}, ready ? "ready\n" : "not ready\n"};
   }
   if (path == "/metrics")
-    return Typed(Metrics::kContentType, pages_.metrics());
+    return OkResponse(Metrics::kContentType, pages_.metrics());
   if (path == "/timeline")
-    return Typed("application/json", pages_.timeline());
+    return OkResponse("application/json", pages_.timeline());
   if (path == "/status")
-    return Typed("application/json", pages_.status());
+    return OkResponse("application/json", pages_.status());
   return {404, {}, "no such page\n"};
 }
 
--- a/radishmoor/service/admin_server.h
+++ b/radishmoor/service/admin_server.h
@@ -1,11 +1,12 @@
-// Admin pages of a process: /healthz, /readyz, /metrics, /timeline and /status.
+// Serves the admin pages of a process: /healthz, /readyz, /metrics, /timeline
+// and /status.
 //
 //   AdminServer admin(loop, {.ready = ..., .metrics = ..., .timeline = ...,
 //                            .status = ...});
 //   Endpoint bound = admin.Listen(endpoint);
 //
-// /healthz answers 200 while the process runs. The load balancer asks /readyz:
-// 200 when the process accepts work, else 503.
+// /healthz answers 200 while the process runs. /readyz, which load balancers
+// ask, answers 200 while the process accepts work, else 503.
 
 #ifndef RADISHMOOR_SERVICE_ADMIN_SERVER_H_
 #define RADISHMOOR_SERVICE_ADMIN_SERVER_H_
@@ -19,6 +20,7 @@
 
 class EventLoop;
 
+// Each function is called for every request of its page.
 struct AdminPages {
   std::function<bool()> ready;
   std::function<std::string()> metrics;   // Text exposition format.
@@ -30,11 +32,12 @@
  public:
   AdminServer(EventLoop& loop, AdminPages pages);
 
-  // Throws std::system_error when it cannot bind.
+  // Returns the bound endpoint; port 0 lets the kernel choose. Throws
+  // std::system_error if the address cannot be bound.
   Endpoint Listen(const Endpoint& endpoint);
 
  private:
-  HttpResponse Page(const HttpRequest& request) const;
+  HttpResponse HandleRequest(const HttpRequest& request) const;
 
   AdminPages pages_;
   HttpServer server_;
--- a/radishmoor/service/control_service.cc
+++ b/radishmoor/service/control_service.cc
@@ -27,12 +27,14 @@
 constexpr Duration kPlatformTimeout = Seconds(5);
 constexpr Duration kProbePeriod = Seconds(2);
 constexpr Duration kProbeTimeout = Seconds(1);
-// How often a rebooting host is asked whether it is back.
+// Interval of the status requests for a host that is rebooting.
 constexpr Duration kRebootPollPeriod = Milliseconds(250);
-constexpr Duration kRebootLimit = Seconds(600);
-constexpr Duration kLeaveTime = Milliseconds(500);
+constexpr Duration kRebootTimeout = Seconds(600);
+// Time for the writes of a shutdown (leases, member row, timeline) to reach the
+// store before the loop stops.
+constexpr Duration kLeaveDelay = Milliseconds(500);
 
-LendingPolicy PolicyOf(LendingMode mode) {
+LendingPolicy LendingPolicyOf(LendingMode mode) {
   switch (mode) {
     case LendingMode::kStatic:
       return StaticLending{};
@@ -70,15 +72,18 @@
   void On(const RecordControlEvent& record);
   void On(const EndControlProcess& end);
 
-  // Asks the platform for an operation on a host.
-  void Operate(const char* operation,
-               const HostId& host,
-               json::object body,
-               HttpFetcher::Callback callback);
-  void Report(const HostId& host, PlatformResultKind kind, uint64_t key);
-  void PollReboot(const RebootHost& reboot, Time give_up);
-
-  void Probe();
+  // Sends POST /operations/<operation> for `host` to the platform. Does nothing
+  // if the configuration does not have the host.
+  void CallPlatform(const char* operation,
+                    const HostId& host,
+                    json::object body,
+                    HttpFetcher::Callback callback);
+  void ReportPlatformResult(const HostId& host,
+                            PlatformResultKind kind,
+                            uint64_t key);
+  void PollReboot(const RebootHost& reboot, Time give_up_at);
+
+  void ProbeHosts();
   void ProbeHost(const HostState& host);
   std::string MetricsPage();
   std::string StatusPage() const;
@@ -102,7 +107,7 @@
       admin_(loop,
              {.ready = [this] { return core_->ready() && !stopping_; },
               .metrics = [this] { return MetricsPage(); },
-              .timeline = [this] { return timeline_->Page(); },
+              .timeline = [this] { return timeline_->EventsAsJson(); },
               .status = [this] { return StatusPage(); }}),
       fetcher_(loop),
       store_(loop, EndpointOf(settings.platform_address), kStoreTimeout),
@@ -122,7 +127,7 @@
   options.peer_address = settings_.peer_address.str();
   options.admin_address = FormatEndpoint(admin_endpoint);
   options.seed = StableHash(settings_.member.str(), incarnation.value);
-  options.controller.lending = PolicyOf(settings_.lending_policy);
+  options.controller.lending = LendingPolicyOf(settings_.lending_policy);
   options.controller.writer.site_writes_per_second =
       settings_.max_writes_per_second;
   core_ = std::make_unique<ControlCore>(std::move(options));
@@ -130,7 +135,7 @@
                               {"zone", settings_.zone.str()},
                               {"admin", FormatEndpoint(admin_endpoint)}});
   Tick();
-  Probe();
+  ProbeHosts();
 }
 
 void ControlService::Impl::Run(ControlActions actions) {
@@ -150,12 +155,10 @@
   });
 }
 
-// Platform operations.
-
-void ControlService::Impl::Operate(const char* operation,
-                                   const HostId& host,
-                                   json::object body,
-                                   HttpFetcher::Callback callback) {
+void ControlService::Impl::CallPlatform(const char* operation,
+                                        const HostId& host,
+                                        json::object body,
+                                        HttpFetcher::Callback callback) {
   const HostState* state = core_->view().state().FindHost(host);
   if (state == nullptr)
     return;
@@ -169,58 +172,65 @@
                  kPlatformTimeout, std::move(callback));
 }
 
-void ControlService::Impl::Report(const HostId& host,
-                                  PlatformResultKind kind,
-                                  uint64_t key) {
+void ControlService::Impl::ReportPlatformResult(const HostId& host,
+                                                PlatformResultKind kind,
+                                                uint64_t key) {
   Run(core_->Handle(loop_.now(), loop_.wall_now(),
                     PlatformResult{.host = host, .kind = kind, .key = key}));
 }
 
 void ControlService::Impl::On(const CheckpointTasks& checkpoint) {
-  Operate("checkpoint", checkpoint.host, {{"key", checkpoint.key}},
-          [this, checkpoint](const HttpFetcher::Result& result) {
-            if (Succeeded(result)) {
-              Report(checkpoint.host, PlatformResultKind::kTasksCheckpointed,
-                     checkpoint.key);
-            }
-          });
+  CallPlatform("checkpoint", checkpoint.host, {{"key", checkpoint.key}},
+               [this, checkpoint](const HttpFetcher::Result& result) {
+                 if (Succeeded(result)) {
+                   ReportPlatformResult(checkpoint.host,
+                                        PlatformResultKind::kTasksCheckpointed,
+                                        checkpoint.key);
+                 }
+               });
 }
 
 void ControlService::Impl::On(const RebootHost& reboot) {
-  Operate("reboot", reboot.host, {{"key", reboot.key}},
-          [this, reboot](const HttpFetcher::Result& result) {
-            // A refusal (requests still run) is repeated by the controller.
-            if (!Succeeded(result))
-              return;
-            Report(reboot.host, PlatformResultKind::kRebootStarted, reboot.key);
-            PollReboot(reboot, loop_.now() + kRebootLimit);
-          });
+  CallPlatform("reboot", reboot.host, {{"key", reboot.key}},
+               [this, reboot](const HttpFetcher::Result& result) {
+                 // The platform refuses while requests run on the host; the
+                 // controller then asks again.
+                 if (!Succeeded(result))
+                   return;
+                 ReportPlatformResult(reboot.host,
+                                      PlatformResultKind::kRebootStarted,
+                                      reboot.key);
+                 PollReboot(reboot, loop_.now() + kRebootTimeout);
+               });
 }
 
-void ControlService::Impl::PollReboot(const RebootHost& reboot, Time give_up) {
-  loop_.RunAfter(kRebootPollPeriod, [this, reboot, give_up] {
-    Operate("status", reboot.host, {{"key", reboot.key}},
-            [this, reboot, give_up](const HttpFetcher::Result& result) {
-              if (Succeeded(result)) {
-                Report(reboot.host, PlatformResultKind::kRebootFinished,
-                       reboot.key);
-              } else if (loop_.now() >= give_up) {
-                Report(reboot.host, PlatformResultKind::kRebootFailed,
-                       reboot.key);
-              } else {
-                PollReboot(reboot, give_up);
-              }
-            });
+void ControlService::Impl::PollReboot(const RebootHost& reboot,
+                                      Time give_up_at) {
+  loop_.RunAfter(kRebootPollPeriod, [this, reboot, give_up_at] {
+    CallPlatform(
+        "status", reboot.host, {{"key", reboot.key}},
+        [this, reboot, give_up_at](const HttpFetcher::Result& result) {
+          if (Succeeded(result)) {
+            ReportPlatformResult(
+                reboot.host, PlatformResultKind::kRebootFinished, reboot.key);
+          } else if (loop_.now() >= give_up_at) {
+            ReportPlatformResult(reboot.host, PlatformResultKind::kRebootFailed,
+                                 reboot.key);
+          } else {
+            PollReboot(reboot, give_up_at);
+          }
+        });
   });
 }
 
 void ControlService::Impl::On(const AdmitHost& admit) {
-  Operate("assign", admit.host,
-          {{"key", admit.key}, {"pool", admit.pool.str()}},
-          [this, admit](const HttpFetcher::Result& result) {
-            if (Succeeded(result))
-              Report(admit.host, PlatformResultKind::kAdmitted, admit.key);
-          });
+  CallPlatform("assign", admit.host,
+               {{"key", admit.key}, {"pool", admit.pool.str()}},
+               [this, admit](const HttpFetcher::Result& result) {
+                 if (Succeeded(result))
+                   ReportPlatformResult(
+                       admit.host, PlatformResultKind::kAdmitted, admit.key);
+               });
 }
 
 void ControlService::Impl::On(const WaveReport& report) {
@@ -246,12 +256,12 @@
   Shutdown();
 }
 
-// Health of backend servers: one request without work to each observed host.
-
-void ControlService::Impl::Probe() {
+// Sends an OPTIONS request, which runs no work, to the backend server of each
+// observed host. Any response shows that the server is healthy.
+void ControlService::Impl::ProbeHosts() {
   for (const HostState* host : core_->ObservedHosts(loop_.now()))
     ProbeHost(*host);
-  loop_.RunAfter(kProbePeriod, [this] { Probe(); });
+  loop_.RunAfter(kProbePeriod, [this] { ProbeHosts(); });
 }
 
 void ControlService::Impl::ProbeHost(const HostState& host) {
@@ -270,8 +280,6 @@
       });
 }
 
-// Shutdown and admin server.
-
 void ControlService::Impl::Shutdown() {
   if (stopping_)
     return;
@@ -279,26 +287,28 @@
   LogInfo("process-stopping", {});
   Run(core_->Leave(loop_.now(), loop_.wall_now()));
   timeline_->Flush();
-  loop_.RunAfter(kLeaveTime, [this] { loop_.Stop(); });
+  loop_.RunAfter(kLeaveDelay, [this] { loop_.Stop(); });
 }
 
 std::string ControlService::Impl::MetricsPage() {
   auto set = [this](const char* name, const char* help, uint64_t value) {
     metrics_.AddGauge(name, help).Set(static_cast<double>(value));
   };
-  FleetCounters figures = core_->controller().fleet_counters();
-  set("radishmoor_control_commits", "Changes committed.", figures.commits);
-  set("radishmoor_control_conflicts", "Changes that lost a race.",
-      figures.conflicts);
-  set("radishmoor_control_unknown", "Changes whose answer was lost.",
-      figures.unknown);
-  set("radishmoor_control_drains", "Drains started.", figures.drains_started);
-  set("radishmoor_control_give_backs", "Reservations given back.",
-      figures.drains_cancelled);
-  set("radishmoor_control_moves", "Hosts moved.", figures.moves);
-  set("radishmoor_control_reboots", "Hosts rebooted.", figures.reboots);
+  FleetCounters counters = core_->controller().fleet_counters();
+  set("radishmoor_control_commits", "Configuration changes committed.",
+      counters.commits);
+  set("radishmoor_control_conflicts",
+      "Configuration changes refused because of another commit.",
+      counters.conflicts);
+  set("radishmoor_control_unknown", "Configuration changes without an answer.",
+      counters.unknown);
+  set("radishmoor_control_drains", "Drains started.", counters.drains_started);
+  set("radishmoor_control_give_backs",
+      "Drains cancelled; the host is active again.", counters.drains_cancelled);
+  set("radishmoor_control_moves", "Hosts moved.", counters.moves);
+  set("radishmoor_control_reboots", "Hosts rebooted.", counters.reboots);
   set("radishmoor_control_budget_refusals",
-      "Starts refused by an availability budget.", figures.budget_refusals);
+      "Starts refused by an availability budget.", counters.budget_refusals);
   set("radishmoor_control_wave_paused", "1 while a wave is paused.",
       core_->controller().wave_paused() ? 1 : 0);
   set("radishmoor_config_version", "Configuration version in force.",
--- a/radishmoor/service/control_service.h
+++ b/radishmoor/service/control_service.h
@@ -1,4 +1,5 @@
-// The control process: binds ControlCore to the network and the platform.
+// Runs a control process: passes events of the network and the platform to
+// ControlCore and carries out the actions that ControlCore returns.
 //
 //   EventLoop loop;
 //   ControlService service(loop, settings);
@@ -21,12 +22,12 @@
   ControlService(EventLoop& loop, const ControlSettings& settings);
   ~ControlService();
 
-  // Throws std::system_error when an address cannot be bound.
+  // Throws std::system_error if an address cannot be bound.
   void Start();
-  // Gives up leases and the member row, then stops the loop.
+  // Releases the leases, removes the member row and then stops the loop.
   void Shutdown();
 
-  // The bound address: "admin IP:PORT".
+  // Returns the bound address as "admin IP:PORT".
   std::string Addresses() const;
 
  private:
--- a/radishmoor/service/endpoints.h
+++ b/radishmoor/service/endpoints.h
@@ -1,5 +1,5 @@
-// The addresses of settings as endpoints of the network layer. The two types
-// differ because settings may not depend on the network layer.
+// Converts addresses from the settings to endpoints of the network layer. There
+// are two types because ops/ may not depend on net/.
 
 #ifndef RADISHMOOR_SERVICE_ENDPOINTS_H_
 #define RADISHMOOR_SERVICE_ENDPOINTS_H_
--- a/radishmoor/service/entry_service.cc
+++ b/radishmoor/service/entry_service.cc
@@ -25,13 +25,13 @@
 namespace {
 
 constexpr Duration kStoreTimeout = Seconds(2);
-// After the last request has ended, the member row is removed; a store that is
-// down must not delay the end of the process further.
+// Time for removing the member row and writing the timeline after the last
+// request has ended. The process then ends even if the store has not answered.
 constexpr Duration kLeaveTimeout = Seconds(1);
 constexpr Duration kDrainCheckPeriod = Milliseconds(20);
-constexpr Duration kSeedPeriod = Seconds(5);
+constexpr Duration kSeedHelloPeriod = Seconds(5);
 
-HttpServerLimits LimitsOf(const EntrySettings& settings) {
+HttpServerLimits HttpLimitsOf(const EntrySettings& settings) {
   HttpServerLimits limits;
   limits.max_header_bytes = static_cast<uint32_t>(settings.max_header_bytes);
   limits.max_body_bytes = static_cast<uint32_t>(settings.max_body_bytes);
@@ -41,7 +41,7 @@
   return limits;
 }
 
-HttpResponse BadInput(unsigned status, std::string reason) {
+HttpResponse BadRequestResponse(unsigned status, std::string reason) {
   return RefusalResponse({.status = status, .reason = std::move(reason)});
 }
 
@@ -70,18 +70,18 @@
   Endpoint peer_endpoint;
 
  private:
-  // A request of a caller that has no response yet.
-  struct Caller {
+  // A caller's request whose response has not been sent yet.
+  struct PendingRequest {
     ExchangeId exchange = 0;
     HttpRequest request;
     PoolId service;
-    Time arrived;
+    Time arrived_at;
   };
 
   void OnRequest(ExchangeId exchange, HttpRequest request);
   void OnAbandoned(ExchangeId exchange);
   void OnBackendResponse(ConnectionId id, HttpResponse response, bool reusable);
-  void OnPeer(const PeerEnvelope& envelope);
+  void OnPeerMessage(const PeerEnvelope& envelope);
 
   void Run(EntryActions actions);
   void On(const OpenBackendConnection& open);
@@ -99,27 +99,28 @@
 
   void Respond(RequestId id, HttpResponse response);
   void Tick();
-  void GreetSeeds();
+  void SendHelloToSeedPeers();
   void CheckDrained();
   std::string MetricsPage();
   std::string StatusPage() const;
 
   EventLoop& loop_;
   EntrySettings settings_;
-  HttpServer callers_;
+  HttpServer caller_http_server_;
   AdminServer admin_;
-  HttpClient backends_;
+  HttpClient backend_http_client_;
   StoreClient store_;
-  PeerTransport peers_;
+  PeerTransport peer_transport_;
   Metrics metrics_;
   Histogram latency_;
   std::unique_ptr<TimelineRecorder> timeline_;
   std::unique_ptr<EntryCore> core_;
 
   uint64_t next_request_ = 0;
-  std::unordered_map<RequestId, Caller> requests_;
-  std::unordered_map<ExchangeId, RequestId> by_exchange_;
-  // The response that the current call of the core is about.
+  std::unordered_map<RequestId, PendingRequest> pending_requests_;
+  std::unordered_map<ExchangeId, RequestId> request_by_exchange_;
+  // Connection and content of the response that OnBackendResponse() is passing
+  // to the core; empty at other times.
   ConnectionId response_connection_;
   HttpResponse response_;
 
@@ -131,23 +132,24 @@
 EntryService::Impl::Impl(EventLoop& loop, const EntrySettings& settings)
     : loop_(loop),
       settings_(settings),
-      callers_(loop,
-               LimitsOf(settings),
-               {.on_request =
-                    [this](ExchangeId id, HttpRequest request) {
-                      OnRequest(id, std::move(request));
-                    },
-                .on_abandoned = [this](ExchangeId id) { OnAbandoned(id); },
-                .on_bad_input =
-                    [](unsigned status, const std::string&) {
-                      return BadInput(status, ReasonOfStatus(status));
-                    }}),
+      caller_http_server_(
+          loop,
+          HttpLimitsOf(settings),
+          {.on_request =
+               [this](ExchangeId id, HttpRequest request) {
+                 OnRequest(id, std::move(request));
+               },
+           .on_abandoned = [this](ExchangeId id) { OnAbandoned(id); },
+           .on_bad_input =
+               [](unsigned status, const std::string&) {
+                 return BadRequestResponse(status, ReasonOfStatus(status));
+               }}),
       admin_(loop,
              {.ready = [this] { return core_->ready() && !shutting_down_; },
               .metrics = [this] { return MetricsPage(); },
-              .timeline = [this] { return timeline_->Page(); },
+              .timeline = [this] { return timeline_->EventsAsJson(); },
               .status = [this] { return StatusPage(); }}),
-      backends_(
+      backend_http_client_(
           loop,
           {.on_opened =
                [this](ConnectionId id) {
@@ -174,13 +176,14 @@
                                               id));
                }}),
       store_(loop, EndpointOf(settings.platform_address), kStoreTimeout),
-      peers_(loop, [this](const PeerEnvelope& e) { OnPeer(e); }),
+      peer_transport_(loop,
+                      [this](const PeerEnvelope& e) { OnPeerMessage(e); }),
       latency_(metrics_.AddHistogram("radishmoor_request_seconds",
                                      "Time from arrival to response.")),
       wake_(loop, [this] { Tick(); }) {}
 
 void EntryService::Impl::Start() {
-  peer_endpoint = peers_.Listen(EndpointOf(settings_.peer_address));
+  peer_endpoint = peer_transport_.Listen(EndpointOf(settings_.peer_address));
   admin_endpoint = admin_.Listen(EndpointOf(settings_.admin_address));
   EntryOptions options;
   options.member = settings_.member;
@@ -198,59 +201,60 @@
       settings_.timeline_ring_size, settings_.timeline_flush_period);
   uint64_t seed = options.seed;
   core_ = std::make_unique<EntryCore>(std::move(options));
-  // Request ids are unique over members and restarts with high probability, and
-  // fit into a signed number for radishmoorctl.
+  // Request ids are unique across members and restarts with high probability.
+  // They stay below 2^63 because radishmoorctl takes them as signed integers.
   next_request_ = (seed & 0x7fff'ffff) << 32;
-  caller_endpoint = callers_.Listen(EndpointOf(settings_.listen_address));
+  caller_endpoint =
+      caller_http_server_.Listen(EndpointOf(settings_.listen_address));
   LogInfo("process-started", {{"member", settings_.member.str()},
                               {"zone", settings_.zone.str()},
                               {"callers", FormatEndpoint(caller_endpoint)},
                               {"admin", FormatEndpoint(admin_endpoint)},
                               {"peers", FormatEndpoint(peer_endpoint)}});
-  GreetSeeds();
+  SendHelloToSeedPeers();
   Tick();
 }
 
-void EntryService::Impl::GreetSeeds() {
+void EntryService::Impl::SendHelloToSeedPeers() {
   PeerEnvelope hello{settings_.member, core_->Stamp(loop_.wall_now()),
                      PeerHello{settings_.member, settings_.zone,
                                FormatEndpoint(peer_endpoint)}};
   for (const SocketAddress& seed : settings_.seed_peers)
-    peers_.Send(EndpointOf(seed), hello);
+    peer_transport_.Send(EndpointOf(seed), hello);
   if (!settings_.seed_peers.empty())
-    loop_.RunAfter(kSeedPeriod, [this] { GreetSeeds(); });
+    loop_.RunAfter(kSeedHelloPeriod, [this] { SendHelloToSeedPeers(); });
 }
 
-// Callers.
-
 void EntryService::Impl::OnRequest(ExchangeId exchange, HttpRequest request) {
   RequestId id{next_request_++};
   auto read = ReadCallerRequest(id, request);
   if (auto* bad = std::get_if<BadRequest>(&read)) {
-    callers_.Respond(exchange, BadInput(bad->status, bad->reason));
+    caller_http_server_.Respond(exchange,
+                                BadRequestResponse(bad->status, bad->reason));
     return;
   }
   const auto& caller = std::get<CallerRequest>(read);
-  by_exchange_[exchange] = id;
-  requests_[id] = {exchange, std::move(request), caller.service, loop_.now()};
+  request_by_exchange_[exchange] = id;
+  pending_requests_[id] = {exchange, std::move(request), caller.service,
+                           loop_.now()};
   Run(core_->Request(loop_.now(), loop_.wall_now(), caller));
 }
 
 void EntryService::Impl::OnAbandoned(ExchangeId exchange) {
-  auto it = by_exchange_.find(exchange);
-  if (it != by_exchange_.end())
+  auto it = request_by_exchange_.find(exchange);
+  if (it != request_by_exchange_.end())
     Run(core_->Cancel(loop_.now(), loop_.wall_now(), it->second));
 }
 
 void EntryService::Impl::Respond(RequestId id, HttpResponse response) {
-  auto node = requests_.extract(id);
+  auto node = pending_requests_.extract(id);
   if (node.empty())
     return;
-  const Caller& caller = node.mapped();
-  latency_.Record(ToSeconds(loop_.now() - caller.arrived));
-  by_exchange_.erase(caller.exchange);
+  const PendingRequest& pending = node.mapped();
+  latency_.Record(ToSeconds(loop_.now() - pending.arrived_at));
+  request_by_exchange_.erase(pending.exchange);
   response.headers.emplace_back("Radishmoor-Request", std::to_string(id.value));
-  callers_.Respond(caller.exchange, std::move(response));
+  caller_http_server_.Respond(pending.exchange, std::move(response));
 }
 
 void EntryService::Impl::On(const DeliverAnswer& deliver) {
@@ -275,13 +279,11 @@
 }
 
 void EntryService::Impl::On(const DropRequest& drop) {
-  auto node = requests_.extract(drop.request);
+  auto node = pending_requests_.extract(drop.request);
   if (!node.empty())
-    by_exchange_.erase(node.mapped().exchange);
+    request_by_exchange_.erase(node.mapped().exchange);
 }
 
-// Backend servers.
-
 void EntryService::Impl::OnBackendResponse(ConnectionId id,
                                            HttpResponse response,
                                            bool reusable) {
@@ -309,13 +311,14 @@
     });
     return;
   }
-  backends_.Open(open.connection, *endpoint);
+  backend_http_client_.Open(open.connection, *endpoint);
 }
 
 void EntryService::Impl::On(const WriteBackendRequest& write) {
-  const Caller& caller = requests_.at(write.request);
-  bool sent = backends_.Send(
-      write.connection, ForwardedRequest(caller.request, caller.service.str()));
+  const PendingRequest& pending = pending_requests_.at(write.request);
+  bool sent = backend_http_client_.Send(
+      write.connection,
+      ForwardedRequest(pending.request, pending.service.str()));
   if (!sent) {
     loop_.Post([this, id = write.connection] {
       Run(core_->OnConnectionEnded(loop_.now(), loop_.wall_now(), id));
@@ -324,15 +327,14 @@
 }
 
 void EntryService::Impl::On(const WriteBackendProbe& probe) {
-  backends_.Send(probe.connection, {"OPTIONS", "*", {{"Host", "-"}}, ""});
+  backend_http_client_.Send(probe.connection,
+                            {"OPTIONS", "*", {{"Host", "-"}}, ""});
 }
 
 void EntryService::Impl::On(const CloseBackendConnection& close) {
-  backends_.Close(close.connection);
+  backend_http_client_.Close(close.connection);
 }
 
-// Platform and peers.
-
 void EntryService::Impl::On(const StoreCall& call) {
   store_.Execute(call.request, [this, tag = call.tag](StoreReply reply) {
     Run(core_->Handle(loop_.now(), loop_.wall_now(),
@@ -344,22 +346,24 @@
   auto endpoint = ParseEndpoint(send.address);
   if (!endpoint)
     return;
-  peers_.Send(*endpoint,
-              {settings_.member, core_->Stamp(loop_.wall_now()), send.message});
+  peer_transport_.Send(
+      *endpoint,
+      {settings_.member, core_->Stamp(loop_.wall_now()), send.message});
 }
 
-void EntryService::Impl::OnPeer(const PeerEnvelope& envelope) {
+void EntryService::Impl::OnPeerMessage(const PeerEnvelope& envelope) {
   if (envelope.sender == settings_.member)
     return;
   Run(core_->Handle(loop_.now(), loop_.wall_now(), envelope.sender,
                     envelope.stamp, envelope.message));
 }
 
-// State changes are logged; requests are only counted and kept on the timeline.
+// Logs state events. Request events go to the timeline only, as there are too
+// many of them for the log.
 void EntryService::Impl::On(const RecordEvent& record) {
   const TimelineEvent& event = record.event;
-  bool of_request = event.request.value != 0;
-  if (!of_request) {
+  bool is_request_event = event.request.value != 0;
+  if (!is_request_event) {
     LogInfo(EventName(event.kind), {{"host", event.host.str()},
                                     {"config", event.config},
                                     {"detail", event.detail}});
@@ -382,22 +386,20 @@
   Run(core_->Tick(loop_.now(), loop_.wall_now()));
 }
 
-// Shutdown.
-
 void EntryService::Impl::Shutdown() {
   if (shutting_down_)
     return;
   shutting_down_ = true;
-  LogInfo("process-stopping", {{"live", requests_.size()}});
-  callers_.StopAccepting();
+  LogInfo("process-stopping", {{"live", pending_requests_.size()}});
+  caller_http_server_.StopAccepting();
   Run(core_->Drain(loop_.now(), loop_.wall_now(),
                    loop_.now() + settings_.grace_period));
   CheckDrained();
 }
 
 void EntryService::Impl::CheckDrained() {
-  bool done = core_->drained() && callers_.exchange_count() == 0 &&
-              callers_.connection_count() == 0;
+  bool done = core_->drained() && caller_http_server_.exchange_count() == 0 &&
+              caller_http_server_.connection_count() == 0;
   if (!done || leaving_) {
     loop_.RunAfter(kDrainCheckPeriod, [this] { CheckDrained(); });
     return;
@@ -411,8 +413,6 @@
   });
 }
 
-// Admin server.
-
 std::string EntryService::Impl::MetricsPage() {
   auto set = [this](const char* name, const char* help, double value,
                     const Labels& labels = {}) {
@@ -436,7 +436,8 @@
       static_cast<double>(core_->backend().counters().ejections));
   set("radishmoor_backend_attempt_timeouts", "Attempts that timed out.",
       static_cast<double>(core_->backend().counters().attempt_timeouts));
-  set("radishmoor_writes_withheld", "Sends stopped by the last check.",
+  set("radishmoor_writes_withheld",
+      "Requests withheld by the check before the send.",
       static_cast<double>(core_->counters().writes_withheld));
   set("radishmoor_claim_transactions", "Claim transactions.",
       static_cast<double>(core_->claims().counters().transactions));
@@ -449,17 +450,18 @@
   set("radishmoor_store_bytes_received", "Bytes received from the platform.",
       static_cast<double>(store_.counters().bytes_received));
   set("radishmoor_peer_messages", "Messages between processes.",
-      static_cast<double>(peers_.counters().sent), {{"direction", "sent"}});
+      static_cast<double>(peer_transport_.counters().sent),
+      {{"direction", "sent"}});
   set("radishmoor_peer_messages", "Messages between processes.",
-      static_cast<double>(peers_.counters().received),
+      static_cast<double>(peer_transport_.counters().received),
       {{"direction", "received"}});
-  set("radishmoor_store_unknown", "Store requests without an answer.",
+  set("radishmoor_store_unknown", "Store requests without a readable answer.",
       static_cast<double>(store_.counters().unknown));
   set("radishmoor_peer_bytes", "Bytes between processes.",
-      static_cast<double>(peers_.counters().bytes_sent),
+      static_cast<double>(peer_transport_.counters().bytes_sent),
       {{"direction", "sent"}});
   set("radishmoor_peer_bytes", "Bytes between processes.",
-      static_cast<double>(peers_.counters().bytes_received),
+      static_cast<double>(peer_transport_.counters().bytes_received),
       {{"direction", "received"}});
   set("radishmoor_timeline_dropped", "Events overwritten before a flush.",
       static_cast<double>(timeline_->dropped()));
--- a/radishmoor/service/entry_service.h
+++ b/radishmoor/service/entry_service.h
@@ -1,4 +1,5 @@
-// The entry process: binds EntryCore to the network.
+// Runs an entry process: passes events of the network and the platform to
+// EntryCore and carries out the actions that EntryCore returns.
 //
 //   EventLoop loop;
 //   EntryService service(loop, settings);
@@ -21,14 +22,16 @@
   EntryService(EventLoop& loop, const EntrySettings& settings);
   ~EntryService();
 
-  // Binds all sockets and starts. Throws std::system_error when an address
-  // cannot be bound.
+  // Binds all sockets and starts to serve. Throws std::system_error if an
+  // address cannot be bound.
   void Start();
 
-  // Graceful shutdown; stops the loop when it is complete.
+  // Stops accepting requests, lets those in progress end within the grace
+  // period, leaves the membership and then stops the loop.
   void Shutdown();
 
-  // The bound addresses: "listening IP:PORT admin IP:PORT peer IP:PORT".
+  // Returns the bound addresses as "listening IP:PORT admin IP:PORT peer
+  // IP:PORT".
   std::string Addresses() const;
 
  private:
--- a/radishmoor/service/http_rules.cc
+++ b/radishmoor/service/http_rules.cc
@@ -17,18 +17,21 @@
 constexpr std::string_view kIdempotentHeader = "Radishmoor-Idempotent";
 constexpr std::string_view kKeyHeader = "Idempotency-Key";
 
-// Longer deadlines are cut to this. The drain gate of control relies on it:
-// after this time no request of an unreachable process can still be answered.
+// Longer deadlines are shortened to this. The drain gate of the control
+// processes relies on it: no request that an unreachable entry process has
+// accepted can still be answered after this time.
 constexpr int64_t kMaxDeadlineMs = 600'000;
 
-// RFC 9110 7.6.1: these concern one connection only. Content-Length and Host
-// are set anew.
+// Headers that are not forwarded: those that apply to one connection only (RFC
+// 9110, 7.6.1), Content-Length, which is computed again, and
+// Radishmoor-Leaving, with which a backend server tells the entry process that
+// it is leaving.
 constexpr std::array<std::string_view, 9> kConnectionHeaders = {
     "Connection", "Keep-Alive",     "Proxy-Connection",
     "TE",         "Trailer",        "Transfer-Encoding",
     "Upgrade",    "Content-Length", "Radishmoor-Leaving"};
 
-bool ConcernsConnection(std::string_view name) {
+bool IsConnectionHeader(std::string_view name) {
   return std::any_of(
       kConnectionHeaders.begin(), kConnectionHeaders.end(),
       [name](std::string_view h) { return boost::beast::iequals(h, name); });
@@ -37,7 +40,7 @@
 HttpHeaders EndToEndHeaders(const HttpHeaders& headers) {
   HttpHeaders result;
   for (const auto& header : headers) {
-    if (!ConcernsConnection(header.first))
+    if (!IsConnectionHeader(header.first))
       result.push_back(header);
   }
   return result;
@@ -71,7 +74,7 @@
   return std::min(value, kMaxDeadlineMs);
 }
 
-uint64_t HashOf(const HttpRequest& request) {
+uint64_t ContentHash(const HttpRequest& request) {
   uint64_t hash = StableHash(request.method);
   hash = StableHash(request.target, hash);
   return StableHash(request.body, hash);
@@ -103,7 +106,7 @@
   }
   if (auto key = FindHeader(request.headers, kKeyHeader))
     result.key = std::string(*key);
-  result.body_hash = HashOf(request);
+  result.body_hash = ContentHash(request);
   return result;
 }
 
--- a/radishmoor/service/run_service.h
+++ b/radishmoor/service/run_service.h
@@ -1,10 +1,10 @@
-// Runs a service as a process, until SIGTERM or SIGINT and the end of its
-// shutdown.
+// Runs a service as a process. SIGTERM and SIGINT start its shutdown; the
+// process ends when the shutdown is complete.
 //
 //   return RunService<EntryService>(settings);
 //
 // Prints the bound addresses on the first line of standard output. Returns the
-// exit code: 0, or 1 when an address cannot be bound.
+// exit code: 0, or 1 if an address cannot be bound.
 
 #ifndef RADISHMOOR_SERVICE_RUN_SERVICE_H_
 #define RADISHMOOR_SERVICE_RUN_SERVICE_H_
@@ -25,7 +25,7 @@
   Service service(loop, settings);
   loop.OnSignal(SIGTERM, [&service] { service.Shutdown(); });
   loop.OnSignal(SIGINT, [&service] { service.Shutdown(); });
-  // The settings of a process do not change while it runs.
+  // SIGHUP is ignored: the settings of a process do not change while it runs.
   loop.OnSignal(SIGHUP, [] {});
   try {
     service.Start();
--- a/radishmoor/service/timeline_recorder.cc
+++ b/radishmoor/service/timeline_recorder.cc
@@ -9,8 +9,9 @@
 namespace radishmoor {
 namespace {
 
-// Separates the sequence numbers of the two rings on the page.
-constexpr uint64_t kRequestSequences = uint64_t{1} << 48;
+// Added to the sequence numbers of request events in EventsAsJson(), so that
+// they differ from those of state events.
+constexpr uint64_t kRequestSequenceOffset = uint64_t{1} << 48;
 
 }  // namespace
 
@@ -25,8 +26,8 @@
       member_(member),
       incarnation_(incarnation),
       flush_period_(flush_period),
-      state_(ring_size),
-      requests_(ring_size) {
+      state_events_(ring_size),
+      request_events_(ring_size) {
   ScheduleFlush();
 }
 
@@ -35,15 +36,15 @@
 }
 
 void TimelineRecorder::Add(TimelineEvent event) {
-  bool of_request = event.request.value != 0;
-  (of_request ? requests_ : state_).Add(std::move(event));
+  bool is_request_event = event.request.value != 0;
+  (is_request_event ? request_events_ : state_events_).Add(std::move(event));
 }
 
-std::string TimelineRecorder::Page() const {
-  TimelineBatch batch{member_, incarnation_, state_.dropped(),
-                      state_.EventsAfter(0)};
-  for (TimelineEvent& event : requests_.EventsAfter(0)) {
-    event.sequence += kRequestSequences;
+std::string TimelineRecorder::EventsAsJson() const {
+  TimelineBatch batch{member_, incarnation_, state_events_.dropped(),
+                      state_events_.EventsAfter(0)};
+  for (TimelineEvent& event : request_events_.EventsAfter(0)) {
+    event.sequence += kRequestSequenceOffset;
     batch.events.push_back(std::move(event));
   }
   return EncodeTimeline(batch);
@@ -57,22 +58,23 @@
 }
 
 void TimelineRecorder::Flush() {
-  if (flushing_ || state_.last_sequence() == flushed_)
+  if (flushing_ || state_events_.last_sequence() == last_flushed_sequence_)
     return;
   flushing_ = true;
-  TimelineBatch batch{member_, incarnation_, state_.dropped(),
-                      state_.EventsAfter(flushed_)};
+  TimelineBatch batch{member_, incarnation_, state_events_.dropped(),
+                      state_events_.EventsAfter(last_flushed_sequence_)};
   uint64_t last = batch.events.back().sequence;
   PutObject put{TimelineKey(member_, incarnation_, last),
                 EncodeTimeline(batch)};
-  // A failed batch is written again with the next one; the key of a batch that
-  // took effect without an answer is then a part of the later one.
+  // After a failure, the events are written again as the start of the next
+  // batch, whose key differs if it has newer events. If the failed write took
+  // effect without an answer, the store then holds its events in both batches.
   store_.Execute(put, [this, last](const StoreReply& reply) {
     flushing_ = false;
     if (!std::holds_alternative<CommittedReply>(reply))
       return;
-    flushed_ = last;
-    state_.MarkFlushed(last);
+    last_flushed_sequence_ = last;
+    state_events_.MarkFlushed(last);
   });
 }
 
--- a/radishmoor/service/timeline_recorder.h
+++ b/radishmoor/service/timeline_recorder.h
@@ -1,14 +1,17 @@
-// Timeline of one process: keeps its events in memory, and writes events that
-// are not about single requests to the object store in batches, so that they
-// outlast the process.
+// Records the timeline of one process. Keeps two rings in memory: request
+// events, which belong to a single request, and state events, which are all
+// others. Writes the state events to the object store in batches, so that they
+// outlive the process.
 //
-//   TimelineRecorder coordinator(loop, store, member, incarnation, options);
+//   TimelineRecorder recorder(loop, store, member, incarnation, ring_size,
+//                             flush_period);
 //   recorder.Add(event);
-//   std::string page = recorder.Page();    // For the admin server.
+//   std::string page = recorder.EventsAsJson();    // For the admin server.
 //
-// Lost when the process is killed: state events since the last flush, and all
-// request events. Request events are not flushed, because thousands a second
-// would exceed the bytes that a process may spend on control.
+// If the process is killed, the state events since the last flush and all
+// request events are lost. Request events are not flushed, because thousands of
+// them each second would exceed the bandwidth that a process may use for
+// control traffic.
 
 #ifndef RADISHMOOR_SERVICE_TIMELINE_RECORDER_H_
 #define RADISHMOOR_SERVICE_TIMELINE_RECORDER_H_
@@ -25,7 +28,8 @@
 
 class TimelineRecorder {
  public:
-  // `loop` and `store` must outlive this object.
+  // `loop` and `store` must outlive this object. Each ring holds `ring_size`
+  // events.
   TimelineRecorder(EventLoop& loop,
                    StoreClient& store,
                    const MemberId& member,
@@ -36,13 +40,15 @@
 
   void Add(TimelineEvent event);
 
-  // JSON of all events in memory (ops/timeline_json.h).
-  std::string Page() const;
+  // Returns all events in memory as JSON, in the format of ops/timeline_json.h.
+  std::string EventsAsJson() const;
 
-  // Writes what was not written yet, for a planned stop.
+  // Starts to write the state events that were not written yet, unless a write
+  // is in progress. Called in each flush period, and before a planned stop.
   void Flush();
 
-  uint64_t dropped() const { return state_.dropped(); }
+  // Number of state events that were overwritten before they were flushed.
+  uint64_t dropped() const { return state_events_.dropped(); }
 
  private:
   void ScheduleFlush();
@@ -54,9 +60,9 @@
   Duration flush_period_;
   uint64_t timer_ = 0;
   bool flushing_ = false;
-  uint64_t flushed_ = 0;
-  TimelineRing state_;
-  TimelineRing requests_;
+  uint64_t last_flushed_sequence_ = 0;
+  TimelineRing state_events_;
+  TimelineRing request_events_;
 };
 
 }  // namespace radishmoor
