--- a/radishmoor/net/http_client.cc
+++ b/radishmoor/net/http_client.cc
@@ -276,7 +276,7 @@
       : loop(event_loop),
         client(
             event_loop,
-            {.on_opened = [this](ConnectionId id) { Write(id); },
+            {.on_opened = [this](ConnectionId id) { SendRequest(id); },
              .on_open_failed =
                  [this](ConnectionId id, std::string error) {
                    Finish(id, Failure{false, std::move(error)});
@@ -297,7 +297,7 @@
                      std::erase(ids, id);
                  }}) {}
 
-  void Write(ConnectionId id) {
+  void SendRequest(ConnectionId id) {
     auto it = exchanges.find(id);
     if (it == exchanges.end())
       return;
@@ -378,7 +378,7 @@
   exchange = {endpoint, std::move(request), std::move(callback)};
   impl_->ArmTimer(id, impl_->loop.now() + timeout);
   if (reuse) {
-    impl_->Write(id);
+    impl_->SendRequest(id);
   } else {
     impl_->client.Open(id, endpoint);
   }
--- a/radishmoor/net/testing/http_test.cc
+++ b/radishmoor/net/testing/http_test.cc
@@ -20,7 +20,7 @@
 
 // Sends `request` to a server that calls `handle` and returns the result of the
 // fetch.
-HttpFetcher::Result Exchange(
+HttpFetcher::Result FetchOnce(
     const HttpRequest& request,
     const std::function<void(HttpServer&, ExchangeId, const HttpRequest&)>&
         handle) {
@@ -49,8 +49,8 @@
 TEST_CASE("repeated headers are kept in requests and responses") {
   size_t received = 0;
   HttpRequest request{"GET", "/", {{"Accept", "a"}, {"Accept", "b"}}, ""};
-  auto result = Exchange(request, [&](HttpServer& server, ExchangeId id,
-                                      const HttpRequest& r) {
+  auto result = FetchOnce(request, [&](HttpServer& server, ExchangeId id,
+                                       const HttpRequest& r) {
     received = CountHeaders(r.headers, "Accept");
     server.Respond(id, {200, {{"Set-Cookie", "a"}, {"Set-Cookie", "b"}}, "x"});
   });
@@ -63,7 +63,7 @@
 // Guards against a truncated response that is taken for a complete one.
 TEST_CASE("a response shorter than its Content-Length is a failure") {
   auto result =
-      Exchange({}, [](HttpServer& server, ExchangeId id, const HttpRequest&) {
+      FetchOnce({}, [](HttpServer& server, ExchangeId id, const HttpRequest&) {
         server.Abort(id, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
       });
   REQUIRE(std::get<HttpFetcher::Failure>(result).sent);
@@ -73,7 +73,7 @@
 // a length, both end with the connection.
 TEST_CASE("a response without a length is a failure") {
   auto result =
-      Exchange({}, [](HttpServer& server, ExchangeId id, const HttpRequest&) {
+      FetchOnce({}, [](HttpServer& server, ExchangeId id, const HttpRequest&) {
         server.Abort(id, "HTTP/1.1 200 OK\r\n\r\nall or half");
       });
   REQUIRE(std::holds_alternative<HttpFetcher::Failure>(result));
@@ -122,7 +122,7 @@
 // them.
 TEST_CASE("a response with `close` set closes its connection") {
   auto result =
-      Exchange({}, [](HttpServer& server, ExchangeId id, const HttpRequest&) {
+      FetchOnce({}, [](HttpServer& server, ExchangeId id, const HttpRequest&) {
         HttpResponse response{503, {}, "elsewhere"};
         response.close = true;
         server.Respond(id, std::move(response));
--- a/radishmoor/ops/log.cc
+++ b/radishmoor/ops/log.cc
@@ -30,16 +30,16 @@
 
 using Sink = log::sinks::synchronous_sink<log::sinks::text_ostream_backend>;
 
-// Above every level: nothing is written before StartLog().
-constexpr int kNoLevel = 100;
-std::atomic<int> least_level{kNoLevel};
+// Greater than every level, so that nothing is written before StartLog().
+constexpr int kLogDisabled = 100;
+std::atomic<int> min_level{kLogDisabled};
 
 constexpr const char* kLevelNames[] = {"debug", "info", "warning", "error"};
 
 std::string UtcNow() {
   auto now = boost::posix_time::microsec_clock::universal_time();
   std::string text = boost::posix_time::to_iso_extended_string(now);
-  // The fraction is left out when it is 0.
+  // Boost leaves out the fraction if it is 0.
   if (text.size() == 19)
     text += ".000000";
   return text + "Z";
@@ -60,8 +60,8 @@
   return true;
 }
 
-// A text with a space, quote or control character is quoted as in JSON, so
-// that a value never starts a new line or a new key.
+// Text with a space, '=', a quote, a backslash or a control character is quoted
+// as in JSON, so that a value never starts a new line or a new key.
 std::string KeyValueText(const LogField& field) {
   const auto* text = std::get_if<std::string>(&field.value());
   if (text != nullptr && IsPlain(*text))
@@ -93,13 +93,12 @@
 
 std::atomic<LogFormat> line_format{LogFormat::kKeyValue};
 
-// Holds lines until they are written. A line that does not fit is dropped
-// whole.
+// Holds lines until Flush(). Drops a line entirely if it does not fit.
 class LineBuffer : public std::streambuf {
  public:
   static constexpr size_t kMaxBytes = 512 * 1024;
 
-  // Writes what the descriptor takes without waiting.
+  // Writes as much as the non-blocking `descriptor` takes and keeps the rest.
   void Flush(int descriptor) {
     size_t written = 0;
     while (written < bytes_.size()) {
@@ -116,7 +115,7 @@
 
  protected:
   std::streamsize xsputn(const char* text, std::streamsize size) override {
-    // The backend writes a line's text, then its end.
+    // The log backend writes the text of a line and then, separately, "\n".
     bool line_end = size == 1 && *text == '\n';
     if (line_end && dropping_) {
       dropping_ = false;
@@ -143,7 +142,7 @@
   bool dropping_ = false;
 };
 
-LineBuffer& Lines() {
+LineBuffer& StdoutBuffer() {
   static LineBuffer lines;
   return lines;
 }
@@ -163,7 +162,7 @@
 void StartLog(const LogOptions& options) {
   auto backend = boost::make_shared<log::sinks::text_ostream_backend>();
   if (options.stream) {
-    // The deleter's copy of the shared pointer keeps the stream alive.
+    // The copy of the shared pointer in the deleter keeps the stream alive.
     backend->add_stream(boost::shared_ptr<std::ostream>(
         options.stream.get(), [keep = options.stream](std::ostream*) {}));
   } else {
@@ -179,7 +178,7 @@
   CurrentSink() = sink;
   log::core::get()->add_sink(sink);
   line_format = options.format;
-  least_level = static_cast<int>(options.level);
+  min_level = static_cast<int>(options.level);
 }
 
 void StartBufferedLog(const LogOptions& options) {
@@ -187,16 +186,16 @@
   if (flags >= 0)
     ::fcntl(STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
   LogOptions buffered = options;
-  buffered.stream = std::make_shared<std::ostream>(&Lines());
+  buffered.stream = std::make_shared<std::ostream>(&StdoutBuffer());
   StartLog(buffered);
 }
 
 void FlushLog() {
-  Lines().Flush(STDOUT_FILENO);
+  StdoutBuffer().Flush(STDOUT_FILENO);
 }
 
 uint64_t DroppedLogLines() {
-  return Lines().dropped();
+  return StdoutBuffer().dropped();
 }
 
 void Log(LogLevel level,
@@ -208,7 +207,7 @@
 void LogFields(LogLevel level,
                std::string_view event,
                std::span<const LogField> fields) {
-  if (static_cast<int>(level) < least_level.load(std::memory_order_relaxed))
+  if (static_cast<int>(level) < min_level.load(std::memory_order_relaxed))
     return;
   log::sources::logger_mt logger;
   auto record = logger.open_record();
--- a/radishmoor/ops/log.h
+++ b/radishmoor/ops/log.h
@@ -1,12 +1,13 @@
-// Structured log lines on standard error or, buffered, on standard output, as
-// key=value or JSON.
+// Writes structured log lines, as key=value or JSON, to standard error or,
+// through a buffer, to standard output.
 //
 //   StartLog({.format = LogFormat::kJson, .level = LogLevel::kInfo});
 //   LogInfo("lease-acquired", {{"pool", pool.str()}, {"token", token}});
 //
-// A line is for a change of state: the start of a drain, the loss of a peer.
-// What happens for each request is counted (metrics.h), not logged. Before
-// StartLog() nothing is written. Thread-safe.
+// Log changes of state, such as the start of a drain or the loss of a peer.
+// Count what happens for each request (metrics.h) instead of logging it.
+// Nothing is written before StartLog(). Thread-safe, except the functions for
+// buffered logs.
 
 #ifndef RADISHMOOR_OPS_LOG_H_
 #define RADISHMOOR_OPS_LOG_H_
@@ -28,12 +29,12 @@
 
 struct LogOptions {
   LogFormat format = LogFormat::kKeyValue;
-  LogLevel level = LogLevel::kInfo;  // Lines below it are dropped.
+  LogLevel level = LogLevel::kInfo;  // Lines below this level are not written.
   std::shared_ptr<std::ostream> stream = nullptr;  // Null: standard error.
 };
 
-// A key with a text, a number or a truth value. Text longer than 1024 bytes is
-// cut.
+// A key and its value: text, a number or a boolean. Text is truncated to 1024
+// bytes.
 class LogField {
  public:
   using Value = std::variant<std::string, int64_t, uint64_t, double, bool>;
@@ -63,14 +64,18 @@
   Value value_;
 };
 
-// Replaces the sink of an earlier call.
+// Starts to write log lines as `options` say. Replaces the options of an
+// earlier call.
 void StartLog(const LogOptions& options);
 
-// As StartLog(), but lines are kept in a buffer of bounded size and written to
-// standard output by FlushLog(), in blocks and without waiting for the reader.
-// A line that finds no room is dropped and counted. For one thread.
+// Like StartLog(), but keeps lines in a buffer of 512 KiB until FlushLog().
+// `options.stream` is ignored, and standard output becomes non-blocking. A line
+// that does not fit into the buffer is dropped. Not thread-safe: one thread may
+// log and flush.
 void StartBufferedLog(const LogOptions& options);
+// Writes as much of the buffer to standard output as it takes without blocking.
 void FlushLog();
+// Number of lines dropped since the start of the process.
 uint64_t DroppedLogLines();
 
 // Writes one line with the time (UTC), the level, the event and the fields.
@@ -79,7 +84,7 @@
          std::string_view event,
          std::initializer_list<LogField> fields = {});
 
-// The same with a list of fields that is built at run time.
+// Like Log(), with a list of fields that is built at run time.
 void LogFields(LogLevel level,
                std::string_view event,
                std::span<const LogField> fields);
--- a/radishmoor/ops/metrics.cc
+++ b/radishmoor/ops/metrics.cc
@@ -17,10 +17,10 @@
 namespace histogram = boost::histogram;
 
 using Axis = histogram::axis::regular<double, histogram::axis::transform::log>;
-// Counters that several threads may increment at once.
+// Atomic counts, so that threads can record values at the same time.
 using Storage =
     histogram::dense_storage<histogram::accumulators::count<uint64_t, true>>;
-using Figure = histogram::histogram<std::tuple<Axis>, Storage>;
+using BucketCounts = histogram::histogram<std::tuple<Axis>, Storage>;
 
 enum class Kind : uint8_t { kCounter, kGauge, kHistogram };
 
@@ -36,7 +36,7 @@
   return true;
 }
 
-std::string Number(double value) {
+std::string FormatNumber(double value) {
   if (std::isnan(value))
     return "NaN";
   if (std::isinf(value))
@@ -46,8 +46,8 @@
   return std::string(buffer, result.ptr);
 }
 
-// A bound as it is shown: six digits are enough to tell buckets apart.
-std::string Bound(double value) {
+// Formats a bucket bound. Six digits are enough to tell bounds apart.
+std::string FormatBound(double value) {
   char buffer[32];
   auto result = std::to_chars(buffer, buffer + sizeof(buffer), value,
                               std::chars_format::general, 6);
@@ -92,9 +92,9 @@
          " " + kind + "\n";
 }
 
-std::string Line(const std::string& name,
-                 const std::string& labels,
-                 const std::string& value) {
+std::string SampleLine(const std::string& name,
+                       const std::string& labels,
+                       const std::string& value) {
   return name + Braced(labels) + " " + value + "\n";
 }
 
@@ -103,36 +103,39 @@
 class HistogramCell {
  public:
   explicit HistogramCell(const HistogramAxis& axis)
-      : figure_(std::tuple(Axis(axis.buckets, axis.low, axis.high))) {}
+      : buckets_(std::tuple(Axis(axis.buckets, axis.low, axis.high))) {}
 
   void Record(double value) {
-    // The logarithm of a negative value would land in the last bucket.
-    figure_(std::max(value, 0.0));
+    // The logarithm of a negative value is NaN, which counts in the last
+    // bucket.
+    buckets_(std::max(value, 0.0));
     sum_.fetch_add(value, std::memory_order_relaxed);
   }
 
-  // The bucket bounds of the figure exclude the bound itself, those of the
-  // exposition include it. The difference is one floating-point value.
-  std::string Lines(const std::string& name, const std::string& labels) const {
+  // A bucket of Boost.Histogram excludes its upper bound, a bucket of the
+  // exposition includes it. Only values that equal a bound are counted one
+  // bucket too high, so the difference is ignored.
+  std::string SampleLines(const std::string& name,
+                          const std::string& labels) const {
     std::string prefix = labels;
     prefix += labels.empty() ? "le=\"" : ",le=\"";
     std::string result;
     uint64_t total = 0;
-    const Axis& axis = figure_.axis();
+    const Axis& axis = buckets_.axis();
     for (int i = -1; i <= axis.size(); ++i) {
-      total += figure_.at(i).value();
+      total += buckets_.at(i).value();
       std::string bound =
-          i == axis.size() ? "+Inf" : Bound(axis.bin(i).upper());
-      result +=
-          Line(name + "_bucket", prefix + bound + "\"", std::to_string(total));
+          i == axis.size() ? "+Inf" : FormatBound(axis.bin(i).upper());
+      result += SampleLine(name + "_bucket", prefix + bound + "\"",
+                           std::to_string(total));
     }
-    result += Line(name + "_sum", labels, Number(sum_.load()));
-    result += Line(name + "_count", labels, std::to_string(total));
+    result += SampleLine(name + "_sum", labels, FormatNumber(sum_.load()));
+    result += SampleLine(name + "_count", labels, std::to_string(total));
     return result;
   }
 
  private:
-  Figure figure_;
+  BucketCounts buckets_;
   std::atomic<double> sum_{0};
 };
 
@@ -144,13 +147,13 @@
 struct Metrics::State {
   struct Series {
     std::atomic<uint64_t> count{0};
-    std::atomic<double> level{0};
-    std::unique_ptr<HistogramCell> figure;
+    std::atomic<double> gauge_value{0};
+    std::unique_ptr<HistogramCell> histogram_cell;
   };
   struct Family {
     Kind kind = Kind::kCounter;
     std::string help;
-    // By label text; a node of the map never moves.
+    // By label text. Handles point into this map: its nodes do not move.
     std::map<std::string, Series> series;
   };
 
@@ -170,10 +173,10 @@
                                              std::string_view help,
                                              const Labels& labels) {
   if (!IsMetricName(name))
-    throw std::invalid_argument("not a metric name: " + std::string(name));
+    throw std::invalid_argument("invalid metric name: " + std::string(name));
   for (const auto& label : labels) {
     if (!IsMetricName(label.first) || label.first == "le")
-      throw std::invalid_argument("not a label name: " + label.first);
+      throw std::invalid_argument("invalid label name: " + label.first);
   }
   auto [it, added] = families.try_emplace(std::string(name));
   Family& family = it->second;
@@ -182,7 +185,8 @@
     family.help = help;
   }
   if (family.kind != kind)
-    throw std::invalid_argument("metric has another kind: " + it->first);
+    throw std::invalid_argument("metric exists with another kind: " +
+                                it->first);
   std::string text = LabelText(labels);
   auto found = family.series.find(text);
   if (found != family.series.end())
@@ -212,20 +216,21 @@
                         std::string_view help,
                         const Labels& labels) {
   std::lock_guard lock(state_->mutex);
-  return Gauge(&state_->Find(Kind::kGauge, name, help, labels).level);
+  return Gauge(&state_->Find(Kind::kGauge, name, help, labels).gauge_value);
 }
 
 Histogram Metrics::AddHistogram(std::string_view name,
                                 std::string_view help,
                                 const Labels& labels,
                                 const HistogramAxis& axis) {
-  // Built first: a faulty axis throws and must not leave a series behind.
-  auto figure = std::make_unique<HistogramCell>(axis);
+  // Created before the series: a bad axis throws and must not leave an empty
+  // series behind.
+  auto histogram_cell = std::make_unique<HistogramCell>(axis);
   std::lock_guard lock(state_->mutex);
   auto& series = state_->Find(Kind::kHistogram, name, help, labels);
-  if (!series.figure)
-    series.figure = std::move(figure);
-  return Histogram(series.figure.get());
+  if (!series.histogram_cell)
+    series.histogram_cell = std::move(histogram_cell);
+  return Histogram(series.histogram_cell.get());
 }
 
 std::string Metrics::Exposition() const {
@@ -236,23 +241,24 @@
         Header(name, family.help, kKindNames[static_cast<int>(family.kind)]);
     for (const auto& [labels, series] : family.series) {
       if (family.kind == Kind::kCounter) {
-        page += Line(name, labels, std::to_string(series.count.load()));
+        page += SampleLine(name, labels, std::to_string(series.count.load()));
       } else if (family.kind == Kind::kGauge) {
-        page += Line(name, labels, Number(series.level.load()));
+        page +=
+            SampleLine(name, labels, FormatNumber(series.gauge_value.load()));
       } else {
-        page += series.figure->Lines(name, labels);
+        page += series.histogram_cell->SampleLines(name, labels);
       }
     }
   }
   const std::string overflow = "radishmoor_metric_series_overflows_total";
   page += Header(overflow, "Requests for a series above the limit of its name.",
                  "counter");
-  page += Line(overflow, "", std::to_string(state_->overflows));
+  page += SampleLine(overflow, "", std::to_string(state_->overflows));
   const std::string breaches = "radishmoor_invariant_breaches_total";
   page += Header(breaches, "Breaches of each named invariant.", "counter");
   for (const auto& [name, count] : InvariantBreaches()) {
-    page +=
-        Line(breaches, LabelText({{"invariant", name}}), std::to_string(count));
+    page += SampleLine(breaches, LabelText({{"invariant", name}}),
+                       std::to_string(count));
   }
   return page;
 }
--- a/radishmoor/ops/metrics.h
+++ b/radishmoor/ops/metrics.h
@@ -1,21 +1,21 @@
 // Counters, gauges and histograms, and their text exposition for scrapers.
 //
 //   Metrics metrics;
-//   Counter sent = metrics.AddCounter("radishmoor_sent_total", "Attempts
-//   sent.",
-//                                     {{"pool", "billing"}});
+//   Counter sent = metrics.AddCounter(
+//       "radishmoor_sent_total", "Attempts sent.", {{"pool", "billing"}});
 //   Histogram wait = metrics.AddHistogram("radishmoor_wait_seconds",
 //                                         "Time in the queue.");
 //   sent.Add();
 //   wait.Record(0.012);
 //   std::string page = metrics.Exposition();
 //
-// Handles are small values that stay valid as long as the registry. Updates
-// are thread-safe and take no lock. Adding a series takes a lock and a look-up
-// by name and labels: keep the handle.
+// Counter, Gauge and Histogram are handles, valid as long as the Metrics
+// object. Updates through a handle are thread-safe and take no lock. The Add*
+// functions take a lock and look the series up by name and labels, so keep the
+// handle.
 //
-// Each name has at most `max_series` sets of labels. Further ones share one
-// series whose label values are "other", so that memory stays bounded.
+// To bound memory, each name has at most `max_series` sets of labels. Further
+// sets share one series whose label values are "other".
 
 #ifndef RADISHMOOR_OPS_METRICS_H_
 #define RADISHMOOR_OPS_METRICS_H_
@@ -82,9 +82,9 @@
   HistogramCell* cell_ = nullptr;
 };
 
-// Buckets of a histogram: `buckets` log-spaced ones between `low` and `high`.
-// Values below `low` fall into a first bucket, those from `high` on into a
-// last one. The default spans 100 us to 100 s with a factor of 1.78 between
+// Buckets of a histogram: `buckets` log-spaced ones between `low` and `high`,
+// one more for values below `low` and one for values from `high` on. For values
+// in seconds, the default spans 100 us to 100 s with a factor of 1.78 between
 // bounds.
 struct HistogramAxis {
   double low = 1e-4;
@@ -94,7 +94,8 @@
 
 class Metrics {
  public:
-  // 1100 worker hosts of the largest site fit.
+  // Enough for one set of labels for each of the 1100 worker hosts of the
+  // largest site.
   static constexpr size_t kDefaultMaxSeries = 2048;
 
   explicit Metrics(size_t max_series = kDefaultMaxSeries);
@@ -102,10 +103,10 @@
   Metrics(const Metrics&) = delete;
   Metrics& operator=(const Metrics&) = delete;
 
-  // The same name and labels give the same series. All throw
-  // std::invalid_argument on a name or label name that scrapers do not accept,
-  // on a name that is taken by another kind and on an axis without
-  // 0 < low < high and at least one bucket.
+  // Return the series with the given name and labels, which is added if it does
+  // not exist. Throw std::invalid_argument if scrapers do not accept the name
+  // or a label name, if the name belongs to a metric of another kind, or unless
+  // 0 < axis.low < axis.high and axis.buckets >= 1.
   Counter AddCounter(std::string_view name,
                      std::string_view help,
                      const Labels& labels = {});
@@ -117,8 +118,9 @@
                          const Labels& labels = {},
                          const HistogramAxis& axis = {});
 
-  // Text exposition format 0.0.4, with the breach counters of invariant.h and
-  // the number of series that did not fit.
+  // Returns all series in text exposition format 0.0.4, with the breach
+  // counters of invariant.h and the number of Add* calls that exceeded
+  // `max_series`.
   std::string Exposition() const;
   static constexpr std::string_view kContentType =
       "text/plain; version=0.0.4; charset=utf-8";
--- a/radishmoor/ops/program_settings.cc
+++ b/radishmoor/ops/program_settings.cc
@@ -3,7 +3,7 @@
 namespace radishmoor {
 namespace {
 
-// The largest period that a setting in milliseconds takes: one hour.
+// Maximum of the settings in milliseconds: one hour.
 constexpr int64_t kMaxPeriodMs = 3'600'000;
 
 void AddIdentity(SettingsTable& table) {
@@ -69,8 +69,9 @@
              .description = description});
 }
 
-// Two servers of one process cannot bind the same address. Port 0 never
-// collides.
+// Requires that the settings `a` and `b` differ, because two servers cannot
+// bind the same address. Port 0 is allowed for both: the kernel chooses two
+// ports.
 void AddDistinctCheck(SettingsTable& table,
                       const std::string& a,
                       const std::string& b) {
@@ -318,10 +319,12 @@
                            : LendingMode::kHysteresis;
 }
 
-size_t Size(const SettingValues& values, const char* name) {
+size_t SizeSetting(const SettingValues& values, const char* name) {
   return static_cast<size_t>(values.Integer(name));
 }
 
+// The programs of a host may share one environment, so each of them accepts the
+// variables of the others.
 SettingsTable WithSharedEnvironment(SettingsTable table) {
   table.IgnoreVariablesOf(BareEntryTable());
   table.IgnoreVariablesOf(BareControlTable());
@@ -357,11 +360,11 @@
   s.log_format = LogFormatOf(v);
   s.log_level = LogLevelOf(v);
   s.grace_period = Milliseconds(v.Integer("grace-period-ms"));
-  s.max_header_bytes = Size(v, "max-header-bytes");
-  s.max_body_bytes = Size(v, "max-body-bytes");
+  s.max_header_bytes = SizeSetting(v, "max-header-bytes");
+  s.max_body_bytes = SizeSetting(v, "max-body-bytes");
   s.request_read_timeout = Milliseconds(v.Integer("request-read-timeout-ms"));
-  s.max_caller_connections = Size(v, "max-caller-connections");
-  s.timeline_ring_size = Size(v, "timeline-ring-size");
+  s.max_caller_connections = SizeSetting(v, "max-caller-connections");
+  s.timeline_ring_size = SizeSetting(v, "timeline-ring-size");
   s.timeline_flush_period = Milliseconds(v.Integer("timeline-flush-period-ms"));
   return s;
 }
--- a/radishmoor/ops/program_settings.h
+++ b/radishmoor/ops/program_settings.h
@@ -1,4 +1,4 @@
-// The settings of radishmoor's programs: their tables and typed values.
+// Settings of radishmoor's programs, as tables for parsing and as typed values.
 //
 //   ParseResult result = EntrySettingsTable().Parse(argc, argv, environ);
 //   if (auto code = result.Report(std::cout, std::cerr))
@@ -24,7 +24,7 @@
 struct EntrySettings {
   MemberId member;
   ZoneId zone;
-  std::string host_name;  // In the platform's host list; may be empty.
+  std::string host_name;  // Name in the platform's host list; may be empty.
   uint64_t host_instance = 0;
   SocketAddress listen_address;    // For callers.
   SocketAddress admin_address;     // /metrics, /healthz, /readyz, /timeline.
@@ -43,15 +43,15 @@
 };
 
 enum class LendingMode : uint8_t {
-  kStatic,      // Spare hosts stay where the inventory puts them.
-  kHysteresis,  // Lends when load crosses a threshold for some time.
-  kPredictive,  // Lends before an expected peak.
+  kStatic,      // Spare hosts stay in the pool that the inventory gives.
+  kHysteresis,  // Spare hosts are lent after load was high for some time.
+  kPredictive,  // Spare hosts are lent before an expected peak.
 };
 
 struct ControlSettings {
   MemberId member;
   ZoneId zone;
-  std::string host_name;  // In the platform's host list; may be empty.
+  std::string host_name;  // Name in the platform's host list; may be empty.
   uint64_t host_instance = 0;
   SocketAddress admin_address;
   SocketAddress peer_address;
@@ -72,19 +72,22 @@
 struct CtlSettings {
   SocketAddress platform_address;
   std::string author;
-  Duration timeout{};                        // Of each read and write.
-  std::optional<uint64_t> expected_version;  // Of the configuration.
-  std::optional<OperationId> operation;      // None: choose a new one.
-  std::optional<RequestId> request;          // Filter of the timeline.
-  std::optional<HostId> host;                // Filter of the timeline.
+  Duration timeout{};  // Time limit of each read and write.
+  // Configuration version that the change requires; nullopt: the current one.
+  std::optional<uint64_t> expected_version;
+  // Id of the change; nullopt: a new one is chosen.
+  std::optional<OperationId> operation;
+  // If set, the timeline shows only events of this request or host.
+  std::optional<RequestId> request;
+  std::optional<HostId> host;
   bool json = false;
-  std::vector<std::string> command;  // With its arguments.
+  std::vector<std::string> command;  // The command and its arguments.
 };
 
 SettingsTable CtlSettingsTable();
 CtlSettings CtlSettingsFrom(const SettingValues& values);
 
-// The text of docs/settings.md: the tables of all programs.
+// Returns the text of docs/settings.md, with the tables of all programs.
 std::string SettingsPage();
 
 }  // namespace radishmoor
--- a/radishmoor/ops/settings.cc
+++ b/radishmoor/ops/settings.cc
@@ -58,18 +58,19 @@
   return items;
 }
 
-std::string Join(const std::vector<std::string>& items, const char* glue) {
+std::string Join(const std::vector<std::string>& items, const char* separator) {
   std::string result;
   for (const std::string& item : items) {
     if (!result.empty())
-      result += glue;
+      result += separator;
     result += item;
   }
   return result;
 }
 
-// Text of unknown origin in an error must not add lines or terminal codes.
-std::string Quoted(std::string_view text) {
+// Quotes user input for an error message, without control characters, which
+// could add lines or terminal codes, and truncated to 80 bytes.
+std::string QuotedForError(std::string_view text) {
   constexpr size_t kMaxShown = 80;
   std::string result = "'";
   for (char c : text.substr(0, kMaxShown))
@@ -78,8 +79,8 @@
   return result;
 }
 
-// What values the setting takes, for --help and errors.
-std::string Expected(const Setting& s) {
+// Describes the valid values of the setting, for --help and errors.
+std::string ExpectedValues(const Setting& s) {
   switch (s.type) {
     case SettingType::kText:
       return "text";
@@ -159,7 +160,7 @@
   if (s.type == SettingType::kAddressList)
     return "ports 1 to 65535";
   if (s.type == SettingType::kName)
-    return Expected(s);
+    return ExpectedValues(s);
   return "";
 }
 
@@ -167,9 +168,9 @@
   return name == kHelpFlag || name == kCheckFlag || name == kMarkdownFlag;
 }
 
-// The TCLAP arguments of one parse. TCLAP stops at the first error, so each
-// argument is of a kind that accepts repeats and any text, and the checks
-// follow after the parse.
+// The TCLAP arguments of one parse. TCLAP stops at the first error, but all
+// errors are to be reported, so each argument accepts repeats and any text and
+// is checked after the parse.
 class CommandLine {
  public:
   explicit CommandLine(const std::vector<Setting>& settings)
@@ -307,7 +308,7 @@
     throw std::logic_error("setting is already in the table: " + setting.name);
   if (setting.type == SettingType::kSwitch && !setting.default_value)
     setting.default_value = "false";
-  // The empty text stands for "not set" in optional names and addresses.
+  // An empty default stands for "not set" in optional names and addresses.
   if (setting.default_value && !setting.default_value->empty() &&
       !IsValid(setting, *setting.default_value)) {
     throw std::logic_error("default is not valid: " + setting.name);
@@ -357,7 +358,8 @@
   bool has_next = i + 1 < args.size();
   if (!token.starts_with("-")) {
     if (arguments_usage_.empty())
-      result.errors.push_back(Quoted(token) + ": belongs to no setting");
+      result.errors.push_back(QuotedForError(token) +
+                              ": belongs to no setting");
     result.values.arguments_.push_back(token);
     return 1;
   }
@@ -367,8 +369,9 @@
   std::string name = flag.starts_with("--") ? flag.substr(2) : "";
   const Setting* setting = Find(name);
   if (setting == nullptr && !IsBuiltInFlag(name)) {
-    result.errors.push_back(Quoted(flag) + ": unknown setting, see --help");
-    // The value of an unknown flag is part of the same fault.
+    result.errors.push_back(QuotedForError(flag) +
+                            ": unknown setting, see --help");
+    // Skips the value of the unknown flag, so that it is not reported too.
     return !has_value && has_next && !args[i + 1].starts_with("-") ? 2 : 1;
   }
   if (setting == nullptr || setting->type == SettingType::kSwitch) {
@@ -381,7 +384,7 @@
   }
   if (!has_value && (!has_next || args[i + 1].starts_with("--"))) {
     result.errors.push_back(flag + ": needs a value, expected " +
-                            Expected(*setting));
+                            ExpectedValues(*setting));
     return 1;
   }
   tokens.push_back(flag);
@@ -423,7 +426,7 @@
         settings_.begin(), settings_.end(),
         [&](const Setting& s) { return SettingVariable(s.name) == variable; });
     if (!known && !ignored_variables_.contains(variable))
-      result.errors.push_back(Quoted(variable) +
+      result.errors.push_back(QuotedForError(variable) +
                               ": unknown environment variable");
   }
   return variables;
@@ -439,8 +442,8 @@
     for (const std::string& other : given) {
       if (other != given.front()) {
         result.errors.push_back(label + ": given twice, as " +
-                                Quoted(given.front()) + " and " +
-                                Quoted(other));
+                                QuotedForError(given.front()) + " and " +
+                                QuotedForError(other));
         return;
       }
     }
@@ -453,22 +456,23 @@
   } else if (setting.default_value) {
     value.text = *setting.default_value;
   } else {
-    // One line for each fault: a flag without its value is already reported.
+    // A flag without a value is already reported as "needs a value".
     bool reported = std::any_of(
         result.errors.begin(), result.errors.end(),
         [&](const std::string& e) { return e.starts_with(label + ": needs"); });
     if (!reported) {
       result.errors.push_back(label + ": missing; set it or " +
                               SettingVariable(setting.name) + ", expected " +
-                              Expected(setting));
+                              ExpectedValues(setting));
     }
     return;
   }
   bool is_default =
       setting.default_value && value.text == *setting.default_value;
   if (!is_default && !IsValid(setting, value.text)) {
-    result.errors.push_back(label + ": " + Quoted(value.text) +
-                            " is not valid, expected " + Expected(setting));
+    result.errors.push_back(label + ": " + QuotedForError(value.text) +
+                            " is not valid, expected " +
+                            ExpectedValues(setting));
     return;
   }
   result.values.values_[setting.name] = std::move(value);
@@ -527,7 +531,7 @@
   out << "\n\nSettings (flag, environment variable; the flag wins):\n";
   for (const Setting& s : settings_) {
     out << "  --" << s.name << ", " << SettingVariable(s.name) << "\n      "
-        << s.description << "\n      " << Expected(s);
+        << s.description << "\n      " << ExpectedValues(s);
     if (!s.default_value) {
       out << "; required";
     } else if (!s.default_value->empty()) {
--- a/radishmoor/ops/settings.h
+++ b/radishmoor/ops/settings.h
@@ -1,5 +1,5 @@
-// Settings of a program: one table in code, from which parsing, checking,
-// --help, --check-settings and the generated documentation all come.
+// Settings of a program. One table in code defines their parsing and checks,
+// the output of --help and --check-settings, and the generated documentation.
 //
 //   SettingsTable table("radishmoor-entry", "Serves callers.");
 //   table.Add({.name = "grace-period-ms", .type = SettingType::kInteger,
@@ -10,10 +10,11 @@
 //     return *code;
 //   int64_t grace = result.values.Integer("grace-period-ms");
 //
-// The setting "grace-period-ms" is read from the flag --grace-period-ms and
-// from the variable RADISHMOOR_GRACE_PERIOD_MS. The flag wins. Every table
-// also has the flags --help, --check-settings and --settings-markdown. All
-// errors are collected, one line each; the exit code is then 2.
+// The setting "grace-period-ms" is read from the flag --grace-period-ms or from
+// the environment variable RADISHMOOR_GRACE_PERIOD_MS; the flag takes
+// precedence. Every table also has the flags --help, --check-settings and
+// --settings-markdown. Parse() reports all errors at once, one line each, with
+// exit code 2.
 
 #ifndef RADISHMOOR_OPS_SETTINGS_H_
 #define RADISHMOOR_OPS_SETTINGS_H_
@@ -52,10 +53,9 @@
   friend bool operator==(const SocketAddress&, const SocketAddress&) = default;
 };
 
-// Nothing if `text` is not an IP address with a decimal port.
+// Returns nullopt if `text` is not an IP address with a decimal port.
 std::optional<SocketAddress> ParseSocketAddress(std::string_view text);
 
-// One row of the table.
 struct Setting {
   std::string name;  // Lower case words joined by '-', ending in the unit.
   SettingType type = SettingType::kText;
@@ -69,18 +69,19 @@
   std::string description;
 };
 
-// Checked values by name. The accessors throw std::out_of_range on a name that
-// is not in the table and std::logic_error on another type than the table's.
+// Checked values by name. The accessors throw std::out_of_range if the table
+// has no setting of that name, and std::logic_error if the setting has another
+// type.
 class SettingValues {
  public:
-  // Of kText, kName and kChoice.
+  // For settings of type kText, kName and kChoice.
   const std::string& Text(std::string_view name) const;
   int64_t Integer(std::string_view name) const;
   bool Switch(std::string_view name) const;
   SocketAddress Address(std::string_view name) const;
   std::vector<SocketAddress> Addresses(std::string_view name) const;
 
-  // Tokens that belong to no flag, if the table allows them.
+  // Command-line arguments that are neither a flag nor the value of one.
   const std::vector<std::string>& arguments() const { return arguments_; }
 
  private:
@@ -99,50 +100,51 @@
 };
 
 struct ParseResult {
-  // Nothing: the program runs with `values`. Otherwise it prints `output` and
-  // `errors` and exits with this code: 0 or 2.
+  // If nullopt, the program runs with `values`. Otherwise it prints `output`
+  // and `errors` and exits with this code, 0 or 2.
   std::optional<int> exit_code;
   std::string output;               // For standard output.
   std::vector<std::string> errors;  // One line each, for standard error.
   SettingValues values;
 
-  // Writes output and errors; returns `exit_code`.
+  // Writes `output` and `errors` and returns `exit_code`.
   std::optional<int> Report(std::ostream& out, std::ostream& err) const;
 };
 
 class SettingsTable {
  public:
-  // Returns an error, or nothing if the values agree with each other.
+  // Returns an error message, or nullopt if the values agree with each other.
   using Check =
       std::function<std::optional<std::string>(const SettingValues& values)>;
 
   SettingsTable(std::string program, std::string summary);
 
-  // Throws std::logic_error on a name that is taken or a default that does
-  // not pass the setting's own check.
+  // Throws std::logic_error if the name is taken or the default is not a valid
+  // value of the setting.
   SettingsTable& Add(Setting setting);
 
   // Adds a check over several settings. It runs only if each setting in
   // `names` is valid by itself.
   SettingsTable& AddCheck(std::vector<std::string> names, Check check);
 
-  // Adds a line to the examples of --help.
+  // Adds an example to --help.
   SettingsTable& AddExample(std::string explanation, std::string command);
 
-  // Accepts tokens that belong to no flag; `usage` describes them in --help.
+  // Accepts arguments that are neither a flag nor the value of one; `usage`
+  // describes them in --help.
   SettingsTable& AllowArguments(std::string usage);
 
-  // RADISHMOOR_* variables of `other` are not reported as unknown, so that the
-  // programs of a host can share one environment.
+  // Does not report the RADISHMOOR_* variables of `other` as unknown, so that
+  // the programs of a host can share one environment.
   SettingsTable& IgnoreVariablesOf(const SettingsTable& other);
 
-  // `environment` is a null-terminated list as in environ(7); may be null.
+  // `environment` is a null-terminated list as in environ(7), or null.
   ParseResult Parse(int argc,
                     const char* const* argv,
                     const char* const* environment) const;
 
   std::string Help() const;
-  // A section of docs/settings.md.
+  // Returns a section of docs/settings.md.
   std::string Markdown() const;
 
   const std::string& program() const { return program_; }
@@ -166,13 +168,16 @@
                    size_t i,
                    std::vector<std::string>& tokens,
                    ParseResult& result) const;
-  // Returns the values given by flags; adds an error for each faulty token.
+  // Returns the values given by flags. Adds an error for each bad token.
   std::map<std::string, std::vector<std::string>>
   ParseFlags(int argc, const char* const* argv, ParseResult& result) const;
+  // Returns the RADISHMOOR_* variables. Adds an error for each unknown one.
   std::map<std::string, std::string> ReadEnvironment(
       const char* const* environment,
       ParseResult& result) const;
-  // Stores the value of one setting or adds its errors.
+  // Chooses the value of `setting`: one of `given` (by flags), else `variable`
+  // (null if not set), else the default. Stores it in `result` or adds an
+  // error.
   void Resolve(const Setting& setting,
                const std::vector<std::string>& given,
                const std::string* variable,
@@ -188,7 +193,8 @@
   std::set<std::string> ignored_variables_;
 };
 
-// "grace-period-ms" -> "RADISHMOOR_GRACE_PERIOD_MS".
+// Returns the environment variable of a setting, such as
+// "RADISHMOOR_GRACE_PERIOD_MS" for "grace-period-ms".
 std::string SettingVariable(std::string_view name);
 
 }  // namespace radishmoor
--- a/radishmoor/ops/testing/log_test.cc
+++ b/radishmoor/ops/testing/log_test.cc
@@ -7,7 +7,8 @@
 namespace radishmoor {
 namespace {
 
-std::string Logged(LogFormat format, std::initializer_list<LogField> fields) {
+// Returns what is written for a line below the level and a line with `fields`.
+std::string LogOnce(LogFormat format, std::initializer_list<LogField> fields) {
   auto stream = std::make_shared<std::ostringstream>();
   StartLog({.format = format, .level = LogLevel::kInfo, .stream = stream});
   Log(LogLevel::kDebug, "hidden");
@@ -15,9 +16,9 @@
   return stream->str();
 }
 
-// Guards against text from outside that forges a line or a field.
+// Guards against values from outside that forge a log line or a field.
 TEST_CASE("a value never starts a new line or a new field") {
-  std::string line = Logged(
+  std::string line = LogOnce(
       LogFormat::kKeyValue,
       {{"peer", "a\nlevel=error x=1"}, {"n", 3}, {"ok", true}, {"id", "w-1"}});
   REQUIRE(line.find('\n') == line.size() - 1);
@@ -28,10 +29,10 @@
 }
 
 // Guards against JSON lines that a log shipper cannot parse, and against lines
-// below the level.
+// below the level that are written.
 TEST_CASE("a JSON line parses and keeps the types of its fields") {
   std::string line =
-      Logged(LogFormat::kJson, {{"peer", "a\"b"}, {"n", uint64_t{18}}});
+      LogOnce(LogFormat::kJson, {{"peer", "a\"b"}, {"n", uint64_t{18}}});
   auto object = boost::json::parse(line).as_object();
   REQUIRE(object.at("event").as_string() == "peer-lost");
   REQUIRE(object.at("level").as_string() == "info");
--- a/radishmoor/ops/testing/metrics_test.cc
+++ b/radishmoor/ops/testing/metrics_test.cc
@@ -10,20 +10,20 @@
 namespace radishmoor {
 namespace {
 
-bool Has(const Metrics& metrics, const std::string& line) {
+bool HasLine(const Metrics& metrics, const std::string& line) {
   return metrics.Exposition().find(line + "\n") != std::string::npos;
 }
 
-// Guards against a page that a scraper rejects or reads wrongly.
+// Guards against an exposition that a scraper rejects or misreads.
 TEST_CASE("counters and gauges are shown in the exposition format") {
   Metrics metrics;
   metrics.AddCounter("a_total", "Help\\ with\nbreak.", {{"p", "x\"y\n"}})
       .Add(2);
   metrics.AddGauge("b", "B.").Set(0.5);
-  REQUIRE(Has(metrics, "# HELP a_total Help\\\\ with\\nbreak."));
-  REQUIRE(Has(metrics, "# TYPE a_total counter"));
-  REQUIRE(Has(metrics, "a_total{p=\"x\\\"y\\n\"} 2"));
-  REQUIRE(Has(metrics, "# TYPE b gauge\nb 0.5"));
+  REQUIRE(HasLine(metrics, "# HELP a_total Help\\\\ with\\nbreak."));
+  REQUIRE(HasLine(metrics, "# TYPE a_total counter"));
+  REQUIRE(HasLine(metrics, "a_total{p=\"x\\\"y\\n\"} 2"));
+  REQUIRE(HasLine(metrics, "# TYPE b gauge\nb 0.5"));
 }
 
 // Guards against buckets that are not cumulative or lose values at the ends.
@@ -34,38 +34,38 @@
   for (double value :
        std::initializer_list<double>{0, -1, 0.5, 5, 50, 1e9, NAN, INFINITY})
     h.Record(value);
-  REQUIRE(Has(metrics, "h_bucket{p=\"x\",le=\"1\"} 3"));
-  REQUIRE(Has(metrics, "h_bucket{p=\"x\",le=\"10\"} 4"));
-  REQUIRE(Has(metrics, "h_bucket{p=\"x\",le=\"100\"} 5"));
-  REQUIRE(Has(metrics, "h_bucket{p=\"x\",le=\"+Inf\"} 6"));
-  REQUIRE(Has(metrics, "h_count{p=\"x\"} 6"));
+  REQUIRE(HasLine(metrics, "h_bucket{p=\"x\",le=\"1\"} 3"));
+  REQUIRE(HasLine(metrics, "h_bucket{p=\"x\",le=\"10\"} 4"));
+  REQUIRE(HasLine(metrics, "h_bucket{p=\"x\",le=\"100\"} 5"));
+  REQUIRE(HasLine(metrics, "h_bucket{p=\"x\",le=\"+Inf\"} 6"));
+  REQUIRE(HasLine(metrics, "h_count{p=\"x\"} 6"));
 }
 
-// Guards against memory that grows with the values of a label.
+// Guards against memory that grows with the number of label values.
 TEST_CASE("label sets above the limit share one series") {
   Metrics metrics(2);
   for (int i = 0; i < 5; ++i)
     metrics.AddCounter("c_total", "C.", {{"host", std::to_string(i)}}).Add();
-  REQUIRE(Has(metrics, "c_total{host=\"1\"} 1"));
-  REQUIRE(Has(metrics, "c_total{host=\"other\"} 3"));
-  REQUIRE(!Has(metrics, "c_total{host=\"2\"} 1"));
-  REQUIRE(Has(metrics, "radishmoor_metric_series_overflows_total 3"));
+  REQUIRE(HasLine(metrics, "c_total{host=\"1\"} 1"));
+  REQUIRE(HasLine(metrics, "c_total{host=\"other\"} 3"));
+  REQUIRE(!HasLine(metrics, "c_total{host=\"2\"} 1"));
+  REQUIRE(HasLine(metrics, "radishmoor_metric_series_overflows_total 3"));
 }
 
-TEST_CASE("one name has one kind, and names are checked") {
+TEST_CASE("a name of another kind, a bad name or a bad axis is refused") {
   Metrics metrics;
   metrics.AddCounter("c_total", "C.");
   REQUIRE_THROWS_AS(metrics.AddGauge("c_total", "C."), std::invalid_argument);
   REQUIRE_THROWS_AS(metrics.AddGauge("9c", ""), std::invalid_argument);
   REQUIRE_THROWS_AS(metrics.AddHistogram("h", "", {}, {.low = -1}),
                     std::invalid_argument);
-  REQUIRE(!Has(metrics, "# TYPE h histogram"));
+  REQUIRE(!HasLine(metrics, "# TYPE h histogram"));
   REQUIRE_THROWS_AS(metrics.AddGauge("c", "", {{"a b", ""}}),
                     std::invalid_argument);
 }
 
 // Guards against lost updates when several threads use one series.
-TEST_CASE("updates from threads are all counted") {
+TEST_CASE("concurrent updates are all counted") {
   Metrics metrics;
   Counter counter = metrics.AddCounter("c_total", "C.");
   Histogram h = metrics.AddHistogram("h", "H.");
@@ -81,17 +81,17 @@
   for (std::thread& thread : threads)
     thread.join();
   REQUIRE(counter.value() == 40000);
-  REQUIRE(Has(metrics, "h_count 40000"));
+  REQUIRE(HasLine(metrics, "h_count 40000"));
 }
 
-// Guards against a breach that no operator can see.
-TEST_CASE("invariant breaches are shown") {
+// Guards against an invariant breach that operators do not see.
+TEST_CASE("the exposition has the number of breaches of each invariant") {
   SetAbortOnInvariantBreach(false);
   ReportInvariantBreach("test.breach", __FILE__, __LINE__);
   SetAbortOnInvariantBreach(true);
-  REQUIRE(
-      Has(Metrics(),
-          "radishmoor_invariant_breaches_total{invariant=\"test.breach\"} 1"));
+  REQUIRE(HasLine(
+      Metrics(),
+      "radishmoor_invariant_breaches_total{invariant=\"test.breach\"} 1"));
 }
 
 }  // namespace
--- a/radishmoor/ops/testing/settings_test.cc
+++ b/radishmoor/ops/testing/settings_test.cc
@@ -12,9 +12,9 @@
 namespace radishmoor {
 namespace {
 
-ParseResult Run(const SettingsTable& table,
-                std::vector<const char*> args,
-                std::vector<const char*> environment = {}) {
+ParseResult ParseSettings(const SettingsTable& table,
+                          std::vector<const char*> args,
+                          std::vector<const char*> environment = {}) {
   args.insert(args.begin(), "program");
   environment.push_back(nullptr);
   return table.Parse(static_cast<int>(args.size()), args.data(),
@@ -46,14 +46,15 @@
   return false;
 }
 
-// Guards against an operator who fixes one fault only to meet the next.
-TEST_CASE("all faults are reported at once, one line each") {
-  ParseResult result =
-      Run(EntrySettingsTable(),
-          {"--member-id", "a b", "--zonee", "z", "--grace-period-ms", "-1",
-           "--listen-address", "localhost:1", "--log-format", "xml", "stray",
-           "--admin-address", "127.0.0.1:70000", "--peer-address"},
-          {"RADISHMOOR_LOG_LEVEL=loud", "RADISHMOOR_TYPO=1", "HOME=/"});
+// Guards against an operator who must start a program once for each error in
+// its settings.
+TEST_CASE("all errors are reported at once, one line each") {
+  ParseResult result = ParseSettings(
+      EntrySettingsTable(),
+      {"--member-id", "a b", "--zonee", "z", "--grace-period-ms", "-1",
+       "--listen-address", "localhost:1", "--log-format", "xml", "stray",
+       "--admin-address", "127.0.0.1:70000", "--peer-address"},
+      {"RADISHMOOR_LOG_LEVEL=loud", "RADISHMOOR_TYPO=1", "HOME=/"});
   REQUIRE(result.exit_code == 2);
   for (const char* part :
        {"--member-id: 'a b' is not valid", "'--zonee': unknown setting",
@@ -69,16 +70,18 @@
   REQUIRE(result.errors.size() == 12);
 }
 
-// Guards against a flag that is silently overruled by the service's unit file.
-TEST_CASE("a flag wins over its variable, which wins over the default") {
+// Guards against a flag that the environment of a service unit overrides.
+TEST_CASE("a flag overrides its variable, which overrides the default") {
   auto with_variable = {"RADISHMOOR_GRACE_PERIOD_MS=5"};
   auto table = EntrySettingsTable();
-  auto both = Run(table, EntryArgs({"--grace-period-ms=7"}), with_variable);
+  auto both =
+      ParseSettings(table, EntryArgs({"--grace-period-ms=7"}), with_variable);
   REQUIRE(both.errors.empty());
   REQUIRE(EntrySettingsFrom(both.values).grace_period == Milliseconds(7));
-  auto variable = Run(table, EntryArgs(), with_variable);
+  auto variable = ParseSettings(table, EntryArgs(), with_variable);
   REQUIRE(EntrySettingsFrom(variable.values).grace_period == Milliseconds(5));
-  EntrySettings defaults = EntrySettingsFrom(Run(table, EntryArgs()).values);
+  EntrySettings defaults =
+      EntrySettingsFrom(ParseSettings(table, EntryArgs()).values);
   REQUIRE(defaults.grace_period == Milliseconds(10000));
   REQUIRE(defaults.max_caller_connections == 12000);
   REQUIRE(defaults.seed_peers.empty());
@@ -86,14 +89,14 @@
 
 // Guards against settings that are valid one by one but cannot work together.
 TEST_CASE("contradictions between settings are errors") {
-  auto result =
-      Run(EntrySettingsTable(),
-          EntryArgs({"--zone", "y", "--seed-peers", "127.0.0.1:4,127.0.0.1:5,",
-                     "--log-level", "debug", "--log-level", "debug"}));
+  auto result = ParseSettings(
+      EntrySettingsTable(),
+      EntryArgs({"--zone", "y", "--seed-peers", "127.0.0.1:4,127.0.0.1:5,",
+                 "--log-level", "debug", "--log-level", "debug"}));
   REQUIRE(Contains(result.errors, "--zone: given twice, as 'z' and 'y'"));
   REQUIRE(Contains(result.errors, "--seed-peers"));
   REQUIRE(result.errors.size() == 2);
-  auto same = Run(
+  auto same = ParseSettings(
       ControlSettingsTable(),
       {"--member-id", "c1", "--zone", "z", "--admin-address", "127.0.0.1:7",
        "--peer-address", "127.0.0.1:7", "--platform-address", "127.0.0.1:9"});
@@ -101,9 +104,9 @@
   REQUIRE(Contains(same.errors, "both are 127.0.0.1:7"));
 }
 
-// Guards against a misspelt name in code that reads as an empty value.
-TEST_CASE("an accessor throws on a name or a type that the table lacks") {
-  auto values = Run(EntrySettingsTable(), EntryArgs()).values;
+// Guards against a misspelt setting name in code that reads as an empty value.
+TEST_CASE("accessors throw on an unknown name or another type") {
+  auto values = ParseSettings(EntrySettingsTable(), EntryArgs()).values;
   REQUIRE_THROWS_AS(values.Integer("grace-period"), std::out_of_range);
   REQUIRE_THROWS_AS(values.Text("grace-period-ms"), std::logic_error);
   SettingsTable table("p", "");
@@ -114,17 +117,19 @@
                     std::logic_error);
 }
 
-TEST_CASE("help and check exit before any run") {
-  auto help = Run(EntrySettingsTable(), {"-h"});
+TEST_CASE("--help and --check-settings set an exit code") {
+  auto help = ParseSettings(EntrySettingsTable(), {"-h"});
   REQUIRE(help.exit_code == 0);
   REQUIRE(help.output.find("Examples:") != std::string::npos);
-  auto check = Run(EntrySettingsTable(), EntryArgs({"--check-settings"}));
+  auto check =
+      ParseSettings(EntrySettingsTable(), EntryArgs({"--check-settings"}));
   REQUIRE(check.exit_code == 0);
   REQUIRE(check.output.find("zone=z (flag)") != std::string::npos);
-  REQUIRE(Run(EntrySettingsTable(), {"--check-settings"}).exit_code == 2);
+  REQUIRE(ParseSettings(EntrySettingsTable(), {"--check-settings"}).exit_code ==
+          2);
 }
 
-// Guards against a page that no longer says what the programs accept.
+// Guards against documentation that differs from what the programs accept.
 TEST_CASE("docs/settings.md is the generated text") {
   std::string root = std::string(__FILE__).substr(
       0, std::string(__FILE__).find("radishmoor/ops/testing"));
@@ -134,9 +139,9 @@
   REQUIRE(text.str() == SettingsPage());
 }
 
-// Guards against an exception of the parser library, or an empty report, on a
-// command line that makes no sense.
-TEST_CASE("any tokens are either valid settings or reported") {
+// Guards against command lines that make the parser library throw, or that are
+// refused without an error message.
+TEST_CASE("any command line without a required setting gives an error") {
   const std::vector<std::string> pieces{"-",
                                         "--",
                                         "--author",
@@ -161,7 +166,7 @@
     std::vector<const char*> args;
     for (uint8_t choice : choices)
       args.push_back(pieces[choice % pieces.size()].c_str());
-    ParseResult result = Run(table, args);
+    ParseResult result = ParseSettings(table, args);
     RC_ASSERT(result.exit_code == 2);  // --platform-address is never given.
     RC_ASSERT(!result.errors.empty());
     for (const std::string& error : result.errors)
@@ -169,7 +174,7 @@
   }));
 }
 
-TEST_CASE("addresses are an IP address and a port") {
+TEST_CASE("only an IP address with a port parses as an address") {
   REQUIRE(ParseSocketAddress("[::1]:80")->str() == "[::1]:80");
   REQUIRE(ParseSocketAddress("10.0.0.1:0")->port == 0);
   for (const char* bad : {"", ":1", "::1:80", "1.2.3:4", "1.2.3.4", "1.2.3.4:",
--- a/radishmoor/ops/testing/timeline_json_test.cc
+++ b/radishmoor/ops/testing/timeline_json_test.cc
@@ -5,7 +5,7 @@
 namespace radishmoor {
 namespace {
 
-bool Same(const TimelineEvent& a, const TimelineEvent& b) {
+bool SameEvent(const TimelineEvent& a, const TimelineEvent& b) {
   return a.sequence == b.sequence && a.stamp == b.stamp && a.kind == b.kind &&
          a.request == b.request && a.host == b.host && a.pool == b.pool &&
          a.config == b.config && a.detail == b.detail;
@@ -29,11 +29,11 @@
   REQUIRE(read.dropped == 3);
   REQUIRE(read.events.size() == batch.events.size());
   for (size_t i = 0; i < read.events.size(); ++i)
-    REQUIRE(Same(read.events[i], batch.events[i]));
+    REQUIRE(SameEvent(read.events[i], batch.events[i]));
 }
 
-// Guards against a tool that ends on a page of another program.
-TEST_CASE("other text is an error of this format") {
+// Guards against tools that crash on the page of another program.
+TEST_CASE("text that is not a timeline throws TimelineFormatError") {
   for (const char* text :
        {"", "[]", "{}", "<html>",
         R"({"member":"e","incarnation":1,"events":[{"sequence":1,"wall":1,)"
@@ -42,7 +42,7 @@
   }
 }
 
-TEST_CASE("keys of a member sort by incarnation and sequence") {
+TEST_CASE("keys of a member sort by incarnation, then by sequence") {
   MemberId m("e1");
   REQUIRE(TimelineKey(m, {9}, 100) < TimelineKey(m, {10}, 9));
   REQUIRE(TimelineKey(m, {9}, 9) < TimelineKey(m, {9}, 10));
--- a/radishmoor/ops/timeline_json.cc
+++ b/radishmoor/ops/timeline_json.cc
@@ -8,17 +8,18 @@
 
 namespace json = boost::json;
 
+// The greatest value of EventKind.
 constexpr auto kLastKind = EventKind::kStoreUp;
 
-EventKind KindOf(std::string_view name) {
+EventKind EventKindFromName(std::string_view name) {
   for (int i = 0; i <= static_cast<int>(kLastKind); ++i) {
     if (EventName(static_cast<EventKind>(i)) == name)
       return static_cast<EventKind>(i);
   }
-  throw TimelineFormatError("unknown event " + std::string(name));
+  throw TimelineFormatError("unknown timeline event: " + std::string(name));
 }
 
-// Fields that are empty or 0 are left out.
+// Omits the optional fields that are empty or 0.
 json::object ToJson(const TimelineEvent& e) {
   json::object o{{"sequence", e.sequence},
                  {"wall", e.stamp.wall},
@@ -37,12 +38,12 @@
   return o;
 }
 
-std::string Text(const json::object& o, const char* key) {
+std::string TextOrEmpty(const json::object& o, const char* key) {
   const json::value* value = o.if_contains(key);
   return value == nullptr ? "" : std::string(value->as_string());
 }
 
-uint64_t Number(const json::object& o, const char* key) {
+uint64_t NumberOrZero(const json::object& o, const char* key) {
   const json::value* value = o.if_contains(key);
   return value == nullptr ? 0 : value->to_number<uint64_t>();
 }
@@ -52,12 +53,12 @@
   e.sequence = o.at("sequence").to_number<uint64_t>();
   e.stamp.wall = o.at("wall").to_number<int64_t>();
   e.stamp.logical = o.at("logical").to_number<uint32_t>();
-  e.kind = KindOf(o.at("event").as_string());
-  e.request = {Number(o, "request")};
-  e.host = HostId(Text(o, "host"));
-  e.pool = PoolId(Text(o, "pool"));
-  e.config = Number(o, "config");
-  e.detail = Text(o, "detail");
+  e.kind = EventKindFromName(o.at("event").as_string());
+  e.request = {NumberOrZero(o, "request")};
+  e.host = HostId(TextOrEmpty(o, "host"));
+  e.pool = PoolId(TextOrEmpty(o, "pool"));
+  e.config = NumberOrZero(o, "config");
+  e.detail = TextOrEmpty(o, "detail");
   return e;
 }
 
@@ -80,7 +81,7 @@
     TimelineBatch batch;
     batch.member = MemberId(std::string(o.at("member").as_string()));
     batch.incarnation = {o.at("incarnation").to_number<uint64_t>()};
-    batch.dropped = Number(o, "dropped");
+    batch.dropped = NumberOrZero(o, "dropped");
     for (const json::value& event : o.at("events").as_array())
       batch.events.push_back(EventFromJson(event.as_object()));
     return batch;
--- a/radishmoor/ops/timeline_json.h
+++ b/radishmoor/ops/timeline_json.h
@@ -1,8 +1,9 @@
-// JSON text of timeline events: the answer of an admin server to GET /timeline
-// and the batches in the object store.
+// JSON encoding of timeline events, for GET /timeline of the admin servers and
+// for the batches in the object store.
 //
-//   object.key = TimelineKey(member, incarnation,
-//   batch.events.back().sequence); object.data = EncodeTimeline(batch);
+//   uint64_t last = batch.events.back().sequence;
+//   object.key = TimelineKey(member, incarnation, last);
+//   object.data = EncodeTimeline(batch);
 
 #ifndef RADISHMOOR_OPS_TIMELINE_JSON_H_
 #define RADISHMOOR_OPS_TIMELINE_JSON_H_
@@ -17,7 +18,8 @@
 
 namespace radishmoor {
 
-// Text that EncodeTimeline() of this or an older version did not write.
+// Thrown for text that was not written by EncodeTimeline() of this or an older
+// version.
 class TimelineFormatError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -27,7 +29,7 @@
 struct TimelineBatch {
   MemberId member;
   Incarnation incarnation;
-  uint64_t dropped = 0;  // Events lost so far, see TimelineRing::dropped().
+  uint64_t dropped = 0;  // Events lost so far; see TimelineRing::dropped().
   std::vector<TimelineEvent> events;
 };
 
@@ -36,12 +38,12 @@
 // Throws TimelineFormatError.
 TimelineBatch DecodeTimeline(const std::string& text);
 
-// Prefix of all batches.
+// Prefix of the object keys of all batches.
 inline constexpr char kTimelinePrefix[] = "timeline/";
 
-// "timeline/<member>/<incarnation>/<sequence>" with 20 digits for each number,
-// so that the keys of a member sort by time. `sequence` is that of the last
-// event.
+// Returns "timeline/<member>/<incarnation>/<sequence>" with 20 digits for each
+// number, so that the keys of a member sort by time. `sequence` is the sequence
+// number of the last event of the batch.
 std::string TimelineKey(const MemberId& member,
                         Incarnation incarnation,
                         uint64_t sequence);
--- a/radishmoor/service/control_service.cc
+++ b/radishmoor/service/control_service.cc
@@ -63,14 +63,16 @@
   Endpoint admin_endpoint;
 
  private:
-  void Run(ControlActions actions);
-  void On(const StoreCall& call);
-  void On(const CheckpointTasks& checkpoint);
-  void On(const RebootHost& reboot);
-  void On(const AdmitHost& admit);
-  void On(const WaveReport& report);
-  void On(const RecordControlEvent& record);
-  void On(const EndControlProcess& end);
+  // Carries out what ControlCore returned and arms the timer for its next
+  // wake-up.
+  void PerformAll(ControlActions actions);
+  void Perform(const StoreCall& call);
+  void Perform(const CheckpointTasks& checkpoint);
+  void Perform(const RebootHost& reboot);
+  void Perform(const AdmitHost& admit);
+  void Perform(const WaveReport& report);
+  void Perform(const RecordControlEvent& record);
+  void Perform(const EndControlProcess& end);
 
   // Sends POST /operations/<operation> for `host` to the platform. Does nothing
   // if the configuration does not have the host.
@@ -138,20 +140,20 @@
   ProbeHosts();
 }
 
-void ControlService::Impl::Run(ControlActions actions) {
+void ControlService::Impl::PerformAll(ControlActions actions) {
   for (const ControlAction& action : actions)
-    std::visit([this](const auto& a) { On(a); }, action);
+    std::visit([this](const auto& a) { Perform(a); }, action);
   wake_.Arm(core_->next_wake());
 }
 
 void ControlService::Impl::Tick() {
-  Run(core_->Tick(loop_.now(), loop_.wall_now()));
+  PerformAll(core_->Tick(loop_.now(), loop_.wall_now()));
 }
 
-void ControlService::Impl::On(const StoreCall& call) {
+void ControlService::Impl::Perform(const StoreCall& call) {
   store_.Execute(call.request, [this, tag = call.tag](StoreReply reply) {
-    Run(core_->Handle(loop_.now(), loop_.wall_now(),
-                      StoreAnswer{tag, std::move(reply)}));
+    PerformAll(core_->Handle(loop_.now(), loop_.wall_now(),
+                             StoreAnswer{tag, std::move(reply)}));
   });
 }
 
@@ -175,11 +177,12 @@
 void ControlService::Impl::ReportPlatformResult(const HostId& host,
                                                 PlatformResultKind kind,
                                                 uint64_t key) {
-  Run(core_->Handle(loop_.now(), loop_.wall_now(),
+  PerformAll(
+      core_->Handle(loop_.now(), loop_.wall_now(),
                     PlatformResult{.host = host, .kind = kind, .key = key}));
 }
 
-void ControlService::Impl::On(const CheckpointTasks& checkpoint) {
+void ControlService::Impl::Perform(const CheckpointTasks& checkpoint) {
   CallPlatform("checkpoint", checkpoint.host, {{"key", checkpoint.key}},
                [this, checkpoint](const HttpFetcher::Result& result) {
                  if (Succeeded(result)) {
@@ -190,7 +193,7 @@
                });
 }
 
-void ControlService::Impl::On(const RebootHost& reboot) {
+void ControlService::Impl::Perform(const RebootHost& reboot) {
   CallPlatform("reboot", reboot.host, {{"key", reboot.key}},
                [this, reboot](const HttpFetcher::Result& result) {
                  // The platform refuses while requests run on the host; the
@@ -223,7 +226,7 @@
   });
 }
 
-void ControlService::Impl::On(const AdmitHost& admit) {
+void ControlService::Impl::Perform(const AdmitHost& admit) {
   CallPlatform("assign", admit.host,
                {{"key", admit.key}, {"pool", admit.pool.str()}},
                [this, admit](const HttpFetcher::Result& result) {
@@ -233,7 +236,7 @@
                });
 }
 
-void ControlService::Impl::On(const WaveReport& report) {
+void ControlService::Impl::Perform(const WaveReport& report) {
   LogInfo("wave-report", {{"round", report.round},
                           {"roll_out_s", ToSeconds(report.roll_out)},
                           {"hosts_maintained", report.hosts_maintained},
@@ -242,7 +245,7 @@
                           {"partial", report.partial}});
 }
 
-void ControlService::Impl::On(const RecordControlEvent& record) {
+void ControlService::Impl::Perform(const RecordControlEvent& record) {
   const TimelineEvent& event = record.event;
   LogInfo(EventName(event.kind), {{"host", event.host.str()},
                                   {"pool", event.pool.str()},
@@ -251,7 +254,7 @@
   timeline_->Add(event);
 }
 
-void ControlService::Impl::On(const EndControlProcess& end) {
+void ControlService::Impl::Perform(const EndControlProcess& end) {
   LogError("process-superseded", {{"detail", end.why}});
   Shutdown();
 }
@@ -276,7 +279,8 @@
                                     .observed_at = loop_.now()};
         if (std::holds_alternative<HttpResponse>(result))
           observation.health = HostHealth::kHealthy;
-        Run(core_->SetHealth(loop_.now(), loop_.wall_now(), {&observation, 1}));
+        PerformAll(
+            core_->SetHealth(loop_.now(), loop_.wall_now(), {&observation, 1}));
       });
 }
 
@@ -285,7 +289,7 @@
     return;
   stopping_ = true;
   LogInfo("process-stopping", {});
-  Run(core_->Leave(loop_.now(), loop_.wall_now()));
+  PerformAll(core_->Leave(loop_.now(), loop_.wall_now()));
   timeline_->Flush();
   loop_.RunAfter(kLeaveDelay, [this] { loop_.Stop(); });
 }
--- a/radishmoor/service/entry_service.cc
+++ b/radishmoor/service/entry_service.cc
@@ -83,19 +83,21 @@
   void OnBackendResponse(ConnectionId id, HttpResponse response, bool reusable);
   void OnPeerMessage(const PeerEnvelope& envelope);
 
-  void Run(EntryActions actions);
-  void On(const OpenBackendConnection& open);
-  void On(const WriteBackendRequest& write);
-  void On(const WriteBackendProbe& probe);
-  void On(const CloseBackendConnection& close);
-  void On(const DeliverAnswer& deliver);
-  void On(const ReplayAnswer& replay);
-  void On(const RefuseRequest& refuse);
-  void On(const DropRequest& drop);
-  void On(const StoreCall& call);
-  void On(const SendPeerMessage& send);
-  void On(const RecordEvent& record);
-  void On(const EndProcess& end);
+  // Carries out what EntryCore returned and arms the timer for its next
+  // wake-up.
+  void PerformAll(EntryActions actions);
+  void Perform(const OpenBackendConnection& open);
+  void Perform(const WriteBackendRequest& write);
+  void Perform(const WriteBackendProbe& probe);
+  void Perform(const CloseBackendConnection& close);
+  void Perform(const DeliverAnswer& deliver);
+  void Perform(const ReplayAnswer& replay);
+  void Perform(const RefuseRequest& refuse);
+  void Perform(const DropRequest& drop);
+  void Perform(const StoreCall& call);
+  void Perform(const SendPeerMessage& send);
+  void Perform(const RecordEvent& record);
+  void Perform(const EndProcess& end);
 
   void Respond(RequestId id, HttpResponse response);
   void Tick();
@@ -153,13 +155,13 @@
           loop,
           {.on_opened =
                [this](ConnectionId id) {
-                 Run(core_->OnConnectionOpened(loop_.now(), loop_.wall_now(),
-                                               id));
+                 PerformAll(core_->OnConnectionOpened(loop_.now(),
+                                                      loop_.wall_now(), id));
                },
            .on_open_failed =
                [this](ConnectionId id, const std::string&) {
-                 Run(core_->OnConnectionOpenFailed(loop_.now(),
-                                                   loop_.wall_now(), id));
+                 PerformAll(core_->OnConnectionOpenFailed(
+                     loop_.now(), loop_.wall_now(), id));
                },
            .on_response =
                [this](ConnectionId id, HttpResponse response, bool reusable) {
@@ -167,13 +169,13 @@
                },
            .on_exchange_failed =
                [this](ConnectionId id, const std::string&) {
-                 Run(core_->OnConnectionEnded(loop_.now(), loop_.wall_now(),
-                                              id));
+                 PerformAll(core_->OnConnectionEnded(loop_.now(),
+                                                     loop_.wall_now(), id));
                },
            .on_closed =
                [this](ConnectionId id) {
-                 Run(core_->OnConnectionEnded(loop_.now(), loop_.wall_now(),
-                                              id));
+                 PerformAll(core_->OnConnectionEnded(loop_.now(),
+                                                     loop_.wall_now(), id));
                }}),
       store_(loop, EndpointOf(settings.platform_address), kStoreTimeout),
       peer_transport_(loop,
@@ -237,13 +239,13 @@
   request_by_exchange_[exchange] = id;
   pending_requests_[id] = {exchange, std::move(request), caller.service,
                            loop_.now()};
-  Run(core_->Request(loop_.now(), loop_.wall_now(), caller));
+  PerformAll(core_->Request(loop_.now(), loop_.wall_now(), caller));
 }
 
 void EntryService::Impl::OnAbandoned(ExchangeId exchange) {
   auto it = request_by_exchange_.find(exchange);
   if (it != request_by_exchange_.end())
-    Run(core_->Cancel(loop_.now(), loop_.wall_now(), it->second));
+    PerformAll(core_->Cancel(loop_.now(), loop_.wall_now(), it->second));
 }
 
 void EntryService::Impl::Respond(RequestId id, HttpResponse response) {
@@ -257,28 +259,28 @@
   caller_http_server_.Respond(pending.exchange, std::move(response));
 }
 
-void EntryService::Impl::On(const DeliverAnswer& deliver) {
+void EntryService::Impl::Perform(const DeliverAnswer& deliver) {
   if (deliver.connection != response_connection_) {
-    On(RefuseRequest{deliver.request, 502, "answer-lost", true, {}});
+    Perform(RefuseRequest{deliver.request, 502, "answer-lost", true, {}});
     return;
   }
   Respond(deliver.request, ForwardedAnswer(std::move(response_)));
 }
 
-void EntryService::Impl::On(const ReplayAnswer& replay) {
+void EntryService::Impl::Perform(const ReplayAnswer& replay) {
   auto answer = DecodeAnswer(replay.encoded);
   if (!answer) {
-    On(RefuseRequest{replay.request, 409, "duplicate-unknown", true, {}});
+    Perform(RefuseRequest{replay.request, 409, "duplicate-unknown", true, {}});
     return;
   }
   Respond(replay.request, ForwardedAnswer(std::move(*answer)));
 }
 
-void EntryService::Impl::On(const RefuseRequest& refuse) {
+void EntryService::Impl::Perform(const RefuseRequest& refuse) {
   Respond(refuse.request, RefusalResponse(refuse));
 }
 
-void EntryService::Impl::On(const DropRequest& drop) {
+void EntryService::Impl::Perform(const DropRequest& drop) {
   auto node = pending_requests_.extract(drop.request);
   if (!node.empty())
     request_by_exchange_.erase(node.mapped().exchange);
@@ -298,51 +300,52 @@
     answer.encoded = EncodeAnswer(response);
   response_connection_ = id;
   response_ = std::move(response);
-  Run(core_->OnBackendAnswer(loop_.now(), loop_.wall_now(), answer));
+  PerformAll(core_->OnBackendAnswer(loop_.now(), loop_.wall_now(), answer));
   response_connection_ = {};
   response_ = {};
 }
 
-void EntryService::Impl::On(const OpenBackendConnection& open) {
+void EntryService::Impl::Perform(const OpenBackendConnection& open) {
   auto endpoint = ParseEndpoint(open.address);
   if (!endpoint) {
     loop_.Post([this, id = open.connection] {
-      Run(core_->OnConnectionOpenFailed(loop_.now(), loop_.wall_now(), id));
+      PerformAll(
+          core_->OnConnectionOpenFailed(loop_.now(), loop_.wall_now(), id));
     });
     return;
   }
   backend_http_client_.Open(open.connection, *endpoint);
 }
 
-void EntryService::Impl::On(const WriteBackendRequest& write) {
+void EntryService::Impl::Perform(const WriteBackendRequest& write) {
   const PendingRequest& pending = pending_requests_.at(write.request);
   bool sent = backend_http_client_.Send(
       write.connection,
       ForwardedRequest(pending.request, pending.service.str()));
   if (!sent) {
     loop_.Post([this, id = write.connection] {
-      Run(core_->OnConnectionEnded(loop_.now(), loop_.wall_now(), id));
+      PerformAll(core_->OnConnectionEnded(loop_.now(), loop_.wall_now(), id));
     });
   }
 }
 
-void EntryService::Impl::On(const WriteBackendProbe& probe) {
+void EntryService::Impl::Perform(const WriteBackendProbe& probe) {
   backend_http_client_.Send(probe.connection,
                             {"OPTIONS", "*", {{"Host", "-"}}, ""});
 }
 
-void EntryService::Impl::On(const CloseBackendConnection& close) {
+void EntryService::Impl::Perform(const CloseBackendConnection& close) {
   backend_http_client_.Close(close.connection);
 }
 
-void EntryService::Impl::On(const StoreCall& call) {
+void EntryService::Impl::Perform(const StoreCall& call) {
   store_.Execute(call.request, [this, tag = call.tag](StoreReply reply) {
-    Run(core_->Handle(loop_.now(), loop_.wall_now(),
-                      StoreAnswer{tag, std::move(reply)}));
+    PerformAll(core_->Handle(loop_.now(), loop_.wall_now(),
+                             StoreAnswer{tag, std::move(reply)}));
   });
 }
 
-void EntryService::Impl::On(const SendPeerMessage& send) {
+void EntryService::Impl::Perform(const SendPeerMessage& send) {
   auto endpoint = ParseEndpoint(send.address);
   if (!endpoint)
     return;
@@ -354,13 +357,13 @@
 void EntryService::Impl::OnPeerMessage(const PeerEnvelope& envelope) {
   if (envelope.sender == settings_.member)
     return;
-  Run(core_->Handle(loop_.now(), loop_.wall_now(), envelope.sender,
-                    envelope.stamp, envelope.message));
+  PerformAll(core_->Handle(loop_.now(), loop_.wall_now(), envelope.sender,
+                           envelope.stamp, envelope.message));
 }
 
 // Logs state events. Request events go to the timeline only, as there are too
 // many of them for the log.
-void EntryService::Impl::On(const RecordEvent& record) {
+void EntryService::Impl::Perform(const RecordEvent& record) {
   const TimelineEvent& event = record.event;
   bool is_request_event = event.request.value != 0;
   if (!is_request_event) {
@@ -371,19 +374,19 @@
   timeline_->Add(event);
 }
 
-void EntryService::Impl::On(const EndProcess& end) {
+void EntryService::Impl::Perform(const EndProcess& end) {
   LogError("process-superseded", {{"detail", end.why}});
   Shutdown();
 }
 
-void EntryService::Impl::Run(EntryActions actions) {
+void EntryService::Impl::PerformAll(EntryActions actions) {
   for (const EntryAction& action : actions)
-    std::visit([this](const auto& a) { On(a); }, action);
+    std::visit([this](const auto& a) { Perform(a); }, action);
   wake_.Arm(core_->next_wake());
 }
 
 void EntryService::Impl::Tick() {
-  Run(core_->Tick(loop_.now(), loop_.wall_now()));
+  PerformAll(core_->Tick(loop_.now(), loop_.wall_now()));
 }
 
 void EntryService::Impl::Shutdown() {
@@ -392,8 +395,8 @@
   shutting_down_ = true;
   LogInfo("process-stopping", {{"live", pending_requests_.size()}});
   caller_http_server_.StopAccepting();
-  Run(core_->Drain(loop_.now(), loop_.wall_now(),
-                   loop_.now() + settings_.grace_period));
+  PerformAll(core_->Drain(loop_.now(), loop_.wall_now(),
+                          loop_.now() + settings_.grace_period));
   CheckDrained();
 }
 
@@ -406,7 +409,7 @@
   }
   leaving_ = true;
   timeline_->Flush();
-  Run(core_->Leave(loop_.now(), loop_.wall_now()));
+  PerformAll(core_->Leave(loop_.now(), loop_.wall_now()));
   loop_.RunAfter(kLeaveTimeout, [this] {
     LogInfo("process-stopped", {});
     loop_.Stop();
