--- a/radishmoor/net/http_client.cc
+++ b/radishmoor/net/http_client.cc
@@ -274,28 +274,29 @@
 
   explicit Impl(EventLoop& event_loop)
       : loop(event_loop),
-        client(
-            event_loop,
-            {.on_opened = [this](ConnectionId id) { SendRequest(id); },
-             .on_open_failed =
-                 [this](ConnectionId id, std::string error) {
-                   Finish(id, Failure{false, std::move(error)});
-                 },
-             .on_response =
-                 [this](ConnectionId id, HttpResponse response, bool reusable) {
-                   if (reusable)
-                     idle[exchanges.at(id).endpoint].push_back(id);
-                   Finish(id, std::move(response));
-                 },
-             .on_exchange_failed =
-                 [this](ConnectionId id, std::string error) {
-                   Finish(id, Failure{true, std::move(error)});
-                 },
-             .on_closed =
-                 [this](ConnectionId id) {
-                   for (auto& [endpoint, ids] : idle)
-                     std::erase(ids, id);
-                 }}) {}
+        client(event_loop,
+               {.on_opened = [this](ConnectionId id) { SendRequest(id); },
+                .on_open_failed =
+                    [this](ConnectionId id, std::string error) {
+                      Finish(id, Failure{false, std::move(error)});
+                    },
+                .on_response =
+                    [this](ConnectionId id,
+                           HttpResponse response,
+                           bool may_reuse) {
+                      if (may_reuse)
+                        idle[exchanges.at(id).endpoint].push_back(id);
+                      Finish(id, std::move(response));
+                    },
+                .on_exchange_failed =
+                    [this](ConnectionId id, std::string error) {
+                      Finish(id, Failure{true, std::move(error)});
+                    },
+                .on_closed =
+                    [this](ConnectionId id) {
+                      for (auto& [endpoint, ids] : idle)
+                        std::erase(ids, id);
+                    }}) {}
 
   void SendRequest(ConnectionId id) {
     auto it = exchanges.find(id);
--- a/radishmoor/net/testing/http_test.cc
+++ b/radishmoor/net/testing/http_test.cc
@@ -120,7 +120,7 @@
 
 // Guards against callers that stay connected to a process that cannot serve
 // them.
-TEST_CASE("a response with `close` set closes its connection") {
+TEST_CASE("a response with the close flag closes its connection") {
   auto result =
       FetchOnce({}, [](HttpServer& server, ExchangeId id, const HttpRequest&) {
         HttpResponse response{503, {}, "elsewhere"};
--- a/radishmoor/ops/testing/settings_test.cc
+++ b/radishmoor/ops/testing/settings_test.cc
@@ -117,7 +117,7 @@
                     std::logic_error);
 }
 
-TEST_CASE("--help and --check-settings set an exit code") {
+TEST_CASE("the flags --help and --check-settings set an exit code") {
   auto help = ParseSettings(EntrySettingsTable(), {"-h"});
   REQUIRE(help.exit_code == 0);
   REQUIRE(help.output.find("Examples:") != std::string::npos);
--- a/radishmoor/service/control_service.cc
+++ b/radishmoor/service/control_service.cc
@@ -298,21 +298,21 @@
   auto set = [this](const char* name, const char* help, uint64_t value) {
     metrics_.AddGauge(name, help).Set(static_cast<double>(value));
   };
-  FleetCounters counters = core_->controller().fleet_counters();
+  FleetCounters fleet = core_->controller().fleet_counters();
   set("radishmoor_control_commits", "Configuration changes committed.",
-      counters.commits);
+      fleet.commits);
   set("radishmoor_control_conflicts",
       "Configuration changes refused because of another commit.",
-      counters.conflicts);
+      fleet.conflicts);
   set("radishmoor_control_unknown", "Configuration changes without an answer.",
-      counters.unknown);
-  set("radishmoor_control_drains", "Drains started.", counters.drains_started);
+      fleet.unknown);
+  set("radishmoor_control_drains", "Drains started.", fleet.drains_started);
   set("radishmoor_control_give_backs",
-      "Drains cancelled; the host is active again.", counters.drains_cancelled);
-  set("radishmoor_control_moves", "Hosts moved.", counters.moves);
-  set("radishmoor_control_reboots", "Hosts rebooted.", counters.reboots);
+      "Drains cancelled; the host is active again.", fleet.drains_cancelled);
+  set("radishmoor_control_moves", "Hosts moved.", fleet.moves);
+  set("radishmoor_control_reboots", "Hosts rebooted.", fleet.reboots);
   set("radishmoor_control_budget_refusals",
-      "Starts refused by an availability budget.", counters.budget_refusals);
+      "Starts refused by an availability budget.", fleet.budget_refusals);
   set("radishmoor_control_wave_paused", "1 while a wave is paused.",
       core_->controller().wave_paused() ? 1 : 0);
   set("radishmoor_config_version", "Configuration version in force.",
