--- a/radishmoor/service/control_service.cc
+++ b/radishmoor/service/control_service.cc
@@ -27,12 +27,14 @@
 constexpr Duration kPlatformTimeout = Seconds(5);
 constexpr Duration kProbePeriod = Seconds(2);
 constexpr Duration kProbeTimeout = Seconds(1);
-// How often a rebooting host is asked whether it is back.
+// Interval of the status requests for a host that is rebooting.
 constexpr Duration kRebootPollPeriod = Milliseconds(250);
-constexpr Duration kRebootLimit = Seconds(600);
-constexpr Duration kLeaveTime = Milliseconds(500);
+constexpr Duration kRebootTimeout = Seconds(600);
+// Time for the writes of a shutdown (leases, member row, timeline) to reach the
+// store before the loop stops.
+constexpr Duration kLeaveDelay = Milliseconds(500);
 
-LendingPolicy PolicyOf(LendingMode mode) {
+LendingPolicy LendingPolicyOf(LendingMode mode) {
   switch (mode) {
     case LendingMode::kStatic:
       return StaticLending{};
@@ -61,24 +63,29 @@
   Endpoint admin_endpoint;
 
  private:
-  void Run(ControlActions actions);
-  void On(const StoreCall& call);
-  void On(const CheckpointTasks& checkpoint);
-  void On(const RebootHost& reboot);
-  void On(const AdmitHost& admit);
-  void On(const WaveReport& report);
-  void On(const RecordControlEvent& record);
-  void On(const EndControlProcess& end);
-
-  // Asks the platform for an operation on a host.
-  void Operate(const char* operation,
-               const HostId& host,
-               json::object body,
-               HttpFetcher::Callback callback);
-  void Report(const HostId& host, PlatformResultKind kind, uint64_t key);
-  void PollReboot(const RebootHost& reboot, Time give_up);
-
-  void Probe();
+  // Carries out what ControlCore returned and arms the timer for its next
+  // wake-up.
+  void PerformAll(ControlActions actions);
+  void Perform(const StoreCall& call);
+  void Perform(const CheckpointTasks& checkpoint);
+  void Perform(const RebootHost& reboot);
+  void Perform(const AdmitHost& admit);
+  void Perform(const WaveReport& report);
+  void Perform(const RecordControlEvent& record);
+  void Perform(const EndControlProcess& end);
+
+  // Sends POST /operations/<operation> for `host` to the platform. Does nothing
+  // if the configuration does not have the host.
+  void CallPlatform(const char* operation,
+                    const HostId& host,
+                    json::object body,
+                    HttpFetcher::Callback callback);
+  void ReportPlatformResult(const HostId& host,
+                            PlatformResultKind kind,
+                            uint64_t key);
+  void PollReboot(const RebootHost& reboot, Time give_up_at);
+
+  void ProbeHosts();
   void ProbeHost(const HostState& host);
   std::string MetricsPage();
   std::string StatusPage() const;
@@ -102,7 +109,7 @@
       admin_(loop,
              {.ready = [this] { return core_->ready() && !stopping_; },
               .metrics = [this] { return MetricsPage(); },
-              .timeline = [this] { return timeline_->Page(); },
+              .timeline = [this] { return timeline_->EventsAsJson(); },
               .status = [this] { return StatusPage(); }}),
       fetcher_(loop),
       store_(loop, EndpointOf(settings.platform_address), kStoreTimeout),
@@ -122,7 +129,7 @@
   options.peer_address = settings_.peer_address.str();
   options.admin_address = FormatEndpoint(admin_endpoint);
   options.seed = StableHash(settings_.member.str(), incarnation.value);
-  options.controller.lending = PolicyOf(settings_.lending_policy);
+  options.controller.lending = LendingPolicyOf(settings_.lending_policy);
   options.controller.writer.site_writes_per_second =
       settings_.max_writes_per_second;
   core_ = std::make_unique<ControlCore>(std::move(options));
@@ -130,32 +137,30 @@
                               {"zone", settings_.zone.str()},
                               {"admin", FormatEndpoint(admin_endpoint)}});
   Tick();
-  Probe();
+  ProbeHosts();
 }
 
-void ControlService::Impl::Run(ControlActions actions) {
+void ControlService::Impl::PerformAll(ControlActions actions) {
   for (const ControlAction& action : actions)
-    std::visit([this](const auto& a) { On(a); }, action);
+    std::visit([this](const auto& a) { Perform(a); }, action);
   wake_.Arm(core_->next_wake());
 }
 
 void ControlService::Impl::Tick() {
-  Run(core_->Tick(loop_.now(), loop_.wall_now()));
+  PerformAll(core_->Tick(loop_.now(), loop_.wall_now()));
 }
 
-void ControlService::Impl::On(const StoreCall& call) {
+void ControlService::Impl::Perform(const StoreCall& call) {
   store_.Execute(call.request, [this, tag = call.tag](StoreReply reply) {
-    Run(core_->Handle(loop_.now(), loop_.wall_now(),
-                      StoreAnswer{tag, std::move(reply)}));
+    PerformAll(core_->Handle(loop_.now(), loop_.wall_now(),
+                             StoreAnswer{tag, std::move(reply)}));
   });
 }
 
-// Platform operations.
-
-void ControlService::Impl::Operate(const char* operation,
-                                   const HostId& host,
-                                   json::object body,
-                                   HttpFetcher::Callback callback) {
+void ControlService::Impl::CallPlatform(const char* operation,
+                                        const HostId& host,
+                                        json::object body,
+                                        HttpFetcher::Callback callback) {
   const HostState* state = core_->view().state().FindHost(host);
   if (state == nullptr)
     return;
@@ -169,61 +174,69 @@
                  kPlatformTimeout, std::move(callback));
 }
 
-void ControlService::Impl::Report(const HostId& host,
-                                  PlatformResultKind kind,
-                                  uint64_t key) {
-  Run(core_->Handle(loop_.now(), loop_.wall_now(),
+void ControlService::Impl::ReportPlatformResult(const HostId& host,
+                                                PlatformResultKind kind,
+                                                uint64_t key) {
+  PerformAll(
+      core_->Handle(loop_.now(), loop_.wall_now(),
                     PlatformResult{.host = host, .kind = kind, .key = key}));
 }
 
-void ControlService::Impl::On(const CheckpointTasks& checkpoint) {
-  Operate("checkpoint", checkpoint.host, {{"key", checkpoint.key}},
-          [this, checkpoint](const HttpFetcher::Result& result) {
-            if (Succeeded(result)) {
-              Report(checkpoint.host, PlatformResultKind::kTasksCheckpointed,
-                     checkpoint.key);
-            }
-          });
+void ControlService::Impl::Perform(const CheckpointTasks& checkpoint) {
+  CallPlatform("checkpoint", checkpoint.host, {{"key", checkpoint.key}},
+               [this, checkpoint](const HttpFetcher::Result& result) {
+                 if (Succeeded(result)) {
+                   ReportPlatformResult(checkpoint.host,
+                                        PlatformResultKind::kTasksCheckpointed,
+                                        checkpoint.key);
+                 }
+               });
 }
 
-void ControlService::Impl::On(const RebootHost& reboot) {
-  Operate("reboot", reboot.host, {{"key", reboot.key}},
-          [this, reboot](const HttpFetcher::Result& result) {
-            // A refusal (requests still run) is repeated by the controller.
-            if (!Succeeded(result))
-              return;
-            Report(reboot.host, PlatformResultKind::kRebootStarted, reboot.key);
-            PollReboot(reboot, loop_.now() + kRebootLimit);
-          });
+void ControlService::Impl::Perform(const RebootHost& reboot) {
+  CallPlatform("reboot", reboot.host, {{"key", reboot.key}},
+               [this, reboot](const HttpFetcher::Result& result) {
+                 // The platform refuses while requests run on the host; the
+                 // controller then asks again.
+                 if (!Succeeded(result))
+                   return;
+                 ReportPlatformResult(reboot.host,
+                                      PlatformResultKind::kRebootStarted,
+                                      reboot.key);
+                 PollReboot(reboot, loop_.now() + kRebootTimeout);
+               });
 }
 
-void ControlService::Impl::PollReboot(const RebootHost& reboot, Time give_up) {
-  loop_.RunAfter(kRebootPollPeriod, [this, reboot, give_up] {
-    Operate("status", reboot.host, {{"key", reboot.key}},
-            [this, reboot, give_up](const HttpFetcher::Result& result) {
-              if (Succeeded(result)) {
-                Report(reboot.host, PlatformResultKind::kRebootFinished,
-                       reboot.key);
-              } else if (loop_.now() >= give_up) {
-                Report(reboot.host, PlatformResultKind::kRebootFailed,
-                       reboot.key);
-              } else {
-                PollReboot(reboot, give_up);
-              }
-            });
+void ControlService::Impl::PollReboot(const RebootHost& reboot,
+                                      Time give_up_at) {
+  loop_.RunAfter(kRebootPollPeriod, [this, reboot, give_up_at] {
+    CallPlatform(
+        "status", reboot.host, {{"key", reboot.key}},
+        [this, reboot, give_up_at](const HttpFetcher::Result& result) {
+          if (Succeeded(result)) {
+            ReportPlatformResult(
+                reboot.host, PlatformResultKind::kRebootFinished, reboot.key);
+          } else if (loop_.now() >= give_up_at) {
+            ReportPlatformResult(reboot.host, PlatformResultKind::kRebootFailed,
+                                 reboot.key);
+          } else {
+            PollReboot(reboot, give_up_at);
+          }
+        });
   });
 }
 
-void ControlService::Impl::On(const AdmitHost& admit) {
-  Operate("assign", admit.host,
-          {{"key", admit.key}, {"pool", admit.pool.str()}},
-          [this, admit](const HttpFetcher::Result& result) {
-            if (Succeeded(result))
-              Report(admit.host, PlatformResultKind::kAdmitted, admit.key);
-          });
+void ControlService::Impl::Perform(const AdmitHost& admit) {
+  CallPlatform("assign", admit.host,
+               {{"key", admit.key}, {"pool", admit.pool.str()}},
+               [this, admit](const HttpFetcher::Result& result) {
+                 if (Succeeded(result))
+                   ReportPlatformResult(
+                       admit.host, PlatformResultKind::kAdmitted, admit.key);
+               });
 }
 
-void ControlService::Impl::On(const WaveReport& report) {
+void ControlService::Impl::Perform(const WaveReport& report) {
   LogInfo("wave-report", {{"round", report.round},
                           {"roll_out_s", ToSeconds(report.roll_out)},
                           {"hosts_maintained", report.hosts_maintained},
@@ -232,7 +245,7 @@
                           {"partial", report.partial}});
 }
 
-void ControlService::Impl::On(const RecordControlEvent& record) {
+void ControlService::Impl::Perform(const RecordControlEvent& record) {
   const TimelineEvent& event = record.event;
   LogInfo(EventName(event.kind), {{"host", event.host.str()},
                                   {"pool", event.pool.str()},
@@ -241,17 +254,17 @@
   timeline_->Add(event);
 }
 
-void ControlService::Impl::On(const EndControlProcess& end) {
+void ControlService::Impl::Perform(const EndControlProcess& end) {
   LogError("process-superseded", {{"detail", end.why}});
   Shutdown();
 }
 
-// Health of backend servers: one request without work to each observed host.
-
-void ControlService::Impl::Probe() {
+// Sends an OPTIONS request, which runs no work, to the backend server of each
+// observed host. Any response shows that the server is healthy.
+void ControlService::Impl::ProbeHosts() {
   for (const HostState* host : core_->ObservedHosts(loop_.now()))
     ProbeHost(*host);
-  loop_.RunAfter(kProbePeriod, [this] { Probe(); });
+  loop_.RunAfter(kProbePeriod, [this] { ProbeHosts(); });
 }
 
 void ControlService::Impl::ProbeHost(const HostState& host) {
@@ -266,39 +279,40 @@
                                     .observed_at = loop_.now()};
         if (std::holds_alternative<HttpResponse>(result))
           observation.health = HostHealth::kHealthy;
-        Run(core_->SetHealth(loop_.now(), loop_.wall_now(), {&observation, 1}));
+        PerformAll(
+            core_->SetHealth(loop_.now(), loop_.wall_now(), {&observation, 1}));
       });
 }
 
-// Shutdown and admin server.
-
 void ControlService::Impl::Shutdown() {
   if (stopping_)
     return;
   stopping_ = true;
   LogInfo("process-stopping", {});
-  Run(core_->Leave(loop_.now(), loop_.wall_now()));
+  PerformAll(core_->Leave(loop_.now(), loop_.wall_now()));
   timeline_->Flush();
-  loop_.RunAfter(kLeaveTime, [this] { loop_.Stop(); });
+  loop_.RunAfter(kLeaveDelay, [this] { loop_.Stop(); });
 }
 
 std::string ControlService::Impl::MetricsPage() {
   auto set = [this](const char* name, const char* help, uint64_t value) {
     metrics_.AddGauge(name, help).Set(static_cast<double>(value));
   };
-  FleetCounters figures = core_->controller().fleet_counters();
-  set("radishmoor_control_commits", "Changes committed.", figures.commits);
-  set("radishmoor_control_conflicts", "Changes that lost a race.",
-      figures.conflicts);
-  set("radishmoor_control_unknown", "Changes whose answer was lost.",
-      figures.unknown);
-  set("radishmoor_control_drains", "Drains started.", figures.drains_started);
-  set("radishmoor_control_give_backs", "Reservations given back.",
-      figures.drains_cancelled);
-  set("radishmoor_control_moves", "Hosts moved.", figures.moves);
-  set("radishmoor_control_reboots", "Hosts rebooted.", figures.reboots);
+  FleetCounters fleet = core_->controller().fleet_counters();
+  set("radishmoor_control_commits", "Configuration changes committed.",
+      fleet.commits);
+  set("radishmoor_control_conflicts",
+      "Configuration changes refused because of another commit.",
+      fleet.conflicts);
+  set("radishmoor_control_unknown", "Configuration changes without an answer.",
+      fleet.unknown);
+  set("radishmoor_control_drains", "Drains started.", fleet.drains_started);
+  set("radishmoor_control_give_backs",
+      "Drains cancelled; the host is active again.", fleet.drains_cancelled);
+  set("radishmoor_control_moves", "Hosts moved.", fleet.moves);
+  set("radishmoor_control_reboots", "Hosts rebooted.", fleet.reboots);
   set("radishmoor_control_budget_refusals",
-      "Starts refused by an availability budget.", figures.budget_refusals);
+      "Starts refused by an availability budget.", fleet.budget_refusals);
   set("radishmoor_control_wave_paused", "1 while a wave is paused.",
       core_->controller().wave_paused() ? 1 : 0);
   set("radishmoor_config_version", "Configuration version in force.",
