--- a/radishmoor/daemons/ctl_main.cc
+++ b/radishmoor/daemons/ctl_main.cc
@@ -21,7 +21,7 @@
 struct Connection {
   explicit Connection(const CtlSettings& settings)
       : timeout(settings.timeout),
-        store(loop, EndpointOf(settings.platform_address), settings.timeout),
+        store(loop, ToEndpoint(settings.platform_address), settings.timeout),
         fetcher(loop) {}
 
   StoreReply Execute(const StoreRequest& request) {
--- a/radishmoor/net/http_server.cc
+++ b/radishmoor/net/http_server.cc
@@ -338,7 +338,7 @@
     node.mapped()->Abort(std::move(partial));
 }
 
-uint64_t HttpServer::ConnectionOf(ExchangeId exchange) const {
+uint64_t HttpServer::ConnectionNumber(ExchangeId exchange) const {
   auto it = impl_->exchanges.find(exchange);
   return it == impl_->exchanges.end() ? 0 : it->second->number();
 }
--- a/radishmoor/net/http_server.h
+++ b/radishmoor/net/http_server.h
@@ -76,7 +76,7 @@
   // Returns the number of the connection that carries `exchange`, or 0 if the
   // exchange has ended. Connections are numbered from 1 in the order in which
   // they are accepted.
-  uint64_t ConnectionOf(ExchangeId exchange) const;
+  uint64_t ConnectionNumber(ExchangeId exchange) const;
   // Returns the number that the next accepted connection will have.
   uint64_t next_connection() const;
 
--- a/radishmoor/service/control_service.cc
+++ b/radishmoor/service/control_service.cc
@@ -112,11 +112,11 @@
               .timeline = [this] { return timeline_->EventsAsJson(); },
               .status = [this] { return StatusPage(); }}),
       fetcher_(loop),
-      store_(loop, EndpointOf(settings.platform_address), kStoreTimeout),
+      store_(loop, ToEndpoint(settings.platform_address), kStoreTimeout),
       wake_(loop, [this] { Tick(); }) {}
 
 void ControlService::Impl::Start() {
-  admin_endpoint = admin_.Listen(EndpointOf(settings_.admin_address));
+  admin_endpoint = admin_.Listen(ToEndpoint(settings_.admin_address));
   Incarnation incarnation{static_cast<uint64_t>(loop_.wall_now())};
   timeline_ = std::make_unique<TimelineRecorder>(
       loop_, store_, settings_.member, incarnation, 4096, Seconds(1));
@@ -166,7 +166,7 @@
     return;
   body["host"] = host.str();
   body["address"] = state->address;
-  fetcher_.Fetch(EndpointOf(settings_.platform_address),
+  fetcher_.Fetch(ToEndpoint(settings_.platform_address),
                  {"POST",
                   std::string("/operations/") + operation,
                   {{"Content-Type", "application/json"}},
--- a/radishmoor/service/endpoints.h
+++ b/radishmoor/service/endpoints.h
@@ -9,7 +9,7 @@
 
 namespace radishmoor {
 
-inline Endpoint EndpointOf(const SocketAddress& address) {
+inline Endpoint ToEndpoint(const SocketAddress& address) {
   return {address.ip, address.port};
 }
 
--- a/radishmoor/service/entry_service.cc
+++ b/radishmoor/service/entry_service.cc
@@ -177,7 +177,7 @@
                  PerformAll(core_->OnConnectionEnded(loop_.now(),
                                                      loop_.wall_now(), id));
                }}),
-      store_(loop, EndpointOf(settings.platform_address), kStoreTimeout),
+      store_(loop, ToEndpoint(settings.platform_address), kStoreTimeout),
       peer_transport_(loop,
                       [this](const PeerEnvelope& e) { OnPeerMessage(e); }),
       latency_(metrics_.AddHistogram("radishmoor_request_seconds",
@@ -185,8 +185,8 @@
       wake_(loop, [this] { Tick(); }) {}
 
 void EntryService::Impl::Start() {
-  peer_endpoint = peer_transport_.Listen(EndpointOf(settings_.peer_address));
-  admin_endpoint = admin_.Listen(EndpointOf(settings_.admin_address));
+  peer_endpoint = peer_transport_.Listen(ToEndpoint(settings_.peer_address));
+  admin_endpoint = admin_.Listen(ToEndpoint(settings_.admin_address));
   EntryOptions options;
   options.member = settings_.member;
   options.zone = settings_.zone;
@@ -207,7 +207,7 @@
   // They stay below 2^63 because radishmoorctl takes them as signed integers.
   next_request_ = (seed & 0x7fff'ffff) << 32;
   caller_endpoint =
-      caller_http_server_.Listen(EndpointOf(settings_.listen_address));
+      caller_http_server_.Listen(ToEndpoint(settings_.listen_address));
   LogInfo("process-started", {{"member", settings_.member.str()},
                               {"zone", settings_.zone.str()},
                               {"callers", FormatEndpoint(caller_endpoint)},
@@ -222,7 +222,7 @@
                      PeerHello{settings_.member, settings_.zone,
                                FormatEndpoint(peer_endpoint)}};
   for (const SocketAddress& seed : settings_.seed_peers)
-    peer_transport_.Send(EndpointOf(seed), hello);
+    peer_transport_.Send(ToEndpoint(seed), hello);
   if (!settings_.seed_peers.empty())
     loop_.RunAfter(kSeedHelloPeriod, [this] { SendHelloToSeedPeers(); });
 }
--- a/radishmoor/standins/backend_server.cc
+++ b/radishmoor/standins/backend_server.cc
@@ -123,7 +123,7 @@
     return;
   }
   if (faults.swallow ||
-      server->ConnectionOf(id) < faults.first_answered_connection)
+      server->ConnectionNumber(id) < faults.first_answered_connection)
     return;
   if (faults.fail_all) {
     server->Respond(id, {500, {}, "failed"});
