--- a/radishmoor/service/control_service.cc
+++ b/radishmoor/service/control_service.cc
@@ -299,16 +299,14 @@
     metrics_.AddGauge(name, help).Set(static_cast<double>(value));
   };
   FleetCounters fleet = core_->controller().fleet_counters();
-  set("radishmoor_control_commits", "Configuration changes committed.",
-      fleet.commits);
-  set("radishmoor_control_conflicts",
-      "Configuration changes refused because of another commit.",
+  set("radishmoor_control_commits", "Changes committed.", fleet.commits);
+  set("radishmoor_control_conflicts", "Changes that lost a race.",
       fleet.conflicts);
-  set("radishmoor_control_unknown", "Configuration changes without an answer.",
+  set("radishmoor_control_unknown", "Changes whose answer was lost.",
       fleet.unknown);
   set("radishmoor_control_drains", "Drains started.", fleet.drains_started);
-  set("radishmoor_control_give_backs",
-      "Drains cancelled; the host is active again.", fleet.drains_cancelled);
+  set("radishmoor_control_give_backs", "Reservations given back.",
+      fleet.drains_cancelled);
   set("radishmoor_control_moves", "Hosts moved.", fleet.moves);
   set("radishmoor_control_reboots", "Hosts rebooted.", fleet.reboots);
   set("radishmoor_control_budget_refusals",
--- a/radishmoor/service/entry_service.cc
+++ b/radishmoor/service/entry_service.cc
@@ -439,8 +439,7 @@
       static_cast<double>(core_->backend().counters().ejections));
   set("radishmoor_backend_attempt_timeouts", "Attempts that timed out.",
       static_cast<double>(core_->backend().counters().attempt_timeouts));
-  set("radishmoor_writes_withheld",
-      "Requests withheld by the check before the send.",
+  set("radishmoor_writes_withheld", "Sends stopped by the last check.",
       static_cast<double>(core_->counters().writes_withheld));
   set("radishmoor_claim_transactions", "Claim transactions.",
       static_cast<double>(core_->claims().counters().transactions));
@@ -458,7 +457,7 @@
   set("radishmoor_peer_messages", "Messages between processes.",
       static_cast<double>(peer_transport_.counters().received),
       {{"direction", "received"}});
-  set("radishmoor_store_unknown", "Store requests without a readable answer.",
+  set("radishmoor_store_unknown", "Store requests without an answer.",
       static_cast<double>(store_.counters().unknown));
   set("radishmoor_peer_bytes", "Bytes between processes.",
       static_cast<double>(peer_transport_.counters().bytes_sent),
