--- a/radishmoor/config/config_log.cc
+++ b/radishmoor/config/config_log.cc
@@ -8,25 +8,26 @@
 namespace radishmoor {
 namespace {
 
-constexpr int kMaxSends = 3;
-// Deltas in one read.
-constexpr ConfigVersion kReadBatch = 64;
+constexpr int kMaxCommitSends = 3;
+// Maximum number of delta rows in one read.
+constexpr ConfigVersion kDeltaReadBatch = 64;
 
 std::string FailureReason(const StoreReply& reply) {
   if (const auto* unavailable = std::get_if<UnavailableReply>(&reply))
     return unavailable->reason;
   if (const auto* unknown = std::get_if<UnknownReply>(&reply))
     return unknown->reason;
-  return "unexpected kind of answer";
+  return "the store returned an answer of the wrong type";
 }
 
-// The expected kind of answer to a read, or an exception.
+// Executes a read and returns its reply. Throws ConfigUnavailableError if the
+// reply is not a `Reply`.
 template <typename Reply>
-Reply Read(const StoreExecutor& execute, const StoreRequest& request) {
+Reply ReadAs(const StoreExecutor& execute, const StoreRequest& request) {
   StoreReply reply = execute(request);
   if (auto* expected = std::get_if<Reply>(&reply))
     return std::move(*expected);
-  throw ConfigUnavailableError("the store cannot be read: " +
+  throw ConfigUnavailableError("cannot read from the store: " +
                                FailureReason(reply));
 }
 
@@ -36,25 +37,25 @@
 };
 
 HeadRow ReadHead(const StoreExecutor& execute) {
-  auto reply = Read<RowsReply>(execute, ReadRows{{kConfigHeadKey}});
+  auto reply = ReadAs<RowsReply>(execute, ReadRows{{kConfigHeadKey}});
   if (reply.rows.empty() || reply.rows[0].version == 0)
     return {};
   return {DecodeHead(reply.rows[0].value), reply.rows[0].version};
 }
 
-// The deltas of the versions first..last, oldest first.
+// Returns the deltas of the versions `first` to `last`, oldest first.
 std::vector<ConfigDelta> ReadDeltas(const StoreExecutor& execute,
                                     ConfigVersion first,
                                     ConfigVersion last) {
   std::vector<ConfigDelta> deltas;
   while (first <= last) {
     ReadRows request;
-    ConfigVersion end = std::min(last, first + kReadBatch - 1);
+    ConfigVersion end = std::min(last, first + kDeltaReadBatch - 1);
     for (; first <= end; ++first)
       request.keys.push_back(ConfigDeltaKey(first));
-    for (const Row& row : Read<RowsReply>(execute, request).rows) {
+    for (const Row& row : ReadAs<RowsReply>(execute, request).rows) {
       if (row.version == 0)
-        throw ConfigFormatError("the log lacks the row " + row.key);
+        throw ConfigFormatError("configuration log is missing row " + row.key);
       deltas.push_back(DecodeDelta(row.value));
     }
   }
@@ -71,13 +72,15 @@
                      [&](const Row& row) { return IsOwnDelta(row, delta); });
 }
 
-// After answers were lost: what the delta row says.
-CommitOutcome ReadBack(const StoreExecutor& execute,
-                       const ConfigDelta& delta,
-                       const std::string& reason) {
+// Determines the outcome of a commit whose answers were lost from its delta
+// row.
+CommitOutcome ResolveLostAnswer(const StoreExecutor& execute,
+                                const ConfigDelta& delta,
+                                const std::string& reason) {
   StoreReply reply = execute(ReadRows{{ConfigDeltaKey(delta.version)}});
   const auto* rows = std::get_if<RowsReply>(&reply);
-  // An absent row proves nothing: a lost request may still arrive.
+  // An absent row does not prove that the commit failed: a delayed request may
+  // still reach the store.
   if (rows == nullptr || rows->rows.empty() || rows->rows[0].version == 0)
     return {CommitResult::kUnknown, reason};
   return {HoldsOwnDelta(rows->rows, delta) ? CommitResult::kCommitted
@@ -109,8 +112,9 @@
                                      const ConfigHead& head,
                                      ConfigVersion snapshot) {
   if (snapshot > head.version || snapshot < head.snapshot) {
-    throw std::invalid_argument("snapshot " + std::to_string(snapshot) +
-                                " does not fit the head");
+    throw std::invalid_argument(
+        "snapshot " + std::to_string(snapshot) +
+        " is not between the recorded snapshot and the head");
   }
   Transaction t;
   t.operation = operation;
@@ -120,25 +124,25 @@
 }
 
 LoadedConfig LoadConfig(const StoreExecutor& execute,
-                        std::optional<ConfigVersion> keep) {
+                        std::optional<ConfigVersion> version_to_keep) {
   LoadedConfig loaded;
   HeadRow row = ReadHead(execute);
   loaded.head = row.head;
   loaded.head_row_version = row.version;
   if (loaded.head.snapshot > 0) {
-    auto object = Read<ObjectReply>(
+    auto object = ReadAs<ObjectReply>(
         execute, ReadObject{ConfigSnapshotKey(loaded.head.snapshot)});
     if (object.found)
       loaded.state = DecodeState(object.data);
   }
   loaded.deltas =
       ReadDeltas(execute, loaded.state.version + 1, loaded.head.version);
-  if (keep == loaded.state.version)
-    loaded.kept = loaded.state;
+  if (version_to_keep == loaded.state.version)
+    loaded.kept_state = loaded.state;
   for (const ConfigDelta& delta : loaded.deltas) {
     loaded.state.Apply(delta);
-    if (keep == loaded.state.version)
-      loaded.kept = loaded.state;
+    if (version_to_keep == loaded.state.version)
+      loaded.kept_state = loaded.state;
   }
   return loaded;
 }
@@ -149,7 +153,7 @@
   CommitRows request{
       BuildConfigTransaction(delta, loaded.head_row_version, loaded.head)};
   std::string reason;
-  for (int send = 0; send < kMaxSends; ++send) {
+  for (int send = 0; send < kMaxCommitSends; ++send) {
     StoreReply reply = execute(request);
     if (std::holds_alternative<CommittedReply>(reply))
       return {CommitResult::kCommitted, ""};
@@ -158,20 +162,21 @@
                                                    : CommitResult::kConflict,
               ""};
     }
-    // Once an answer was lost, the outcome stays unknown until a conflict, a
-    // commit or the delta row shows it.
-    bool lost = !reason.empty();
-    if (std::holds_alternative<UnavailableReply>(reply) && !lost)
+    // Once an answer was lost, UnavailableReply to a later send does not prove
+    // that nothing was changed. Only a conflict, a commit or the delta row
+    // does.
+    bool answer_lost = !reason.empty();
+    if (std::holds_alternative<UnavailableReply>(reply) && !answer_lost)
       return {CommitResult::kUnavailable, FailureReason(reply)};
-    reason = "answer lost: " + FailureReason(reply);
+    reason = "no answer to the commit: " + FailureReason(reply);
   }
-  return ReadBack(execute, delta, reason);
+  return ResolveLostAnswer(execute, delta, reason);
 }
 
 bool WriteSnapshotIfDue(const StoreExecutor& execute,
                         const ConfigDelta& delta,
                         const LoadedConfig& loaded) {
-  if (!SnapshotDue({delta.version, loaded.head.snapshot}))
+  if (!IsSnapshotDue({delta.version, loaded.head.snapshot}))
     return true;
   FleetState state = loaded.state;
   state.Apply(delta);
@@ -183,8 +188,8 @@
     HeadRow row = ReadHead(execute);
     if (row.head.snapshot >= state.version)
       return true;
-    // An operation id names one transaction, so this one gets another than the
-    // delta's.
+    // An operation id identifies one transaction, so this transaction must not
+    // reuse the delta's id.
     OperationId operation{~delta.operation.value};
     StoreReply reply = execute(CommitRows{BuildSnapshotTransaction(
         operation, row.version, row.head, state.version)});
@@ -200,8 +205,8 @@
   ConfigVersion last = ReadHead(execute).head.version;
   ConfigVersion oldest = last > window ? last - window + 1 : 1;
   while (last >= oldest) {
-    ConfigVersion first =
-        std::max(oldest, last >= kReadBatch ? last - kReadBatch + 1 : 1);
+    ConfigVersion first = std::max(
+        oldest, last >= kDeltaReadBatch ? last - kDeltaReadBatch + 1 : 1);
     for (const ConfigDelta& delta : ReadDeltas(execute, first, last)) {
       if (delta.operation == operation)
         return delta.version;
--- a/radishmoor/config/config_log.h
+++ b/radishmoor/config/config_log.h
@@ -1,6 +1,7 @@
-// Appending to the configuration log and reading it, over blocking calls of
-// the store. Operators' tools use all of it; control, which may not block,
-// uses BuildConfigTransaction() and the key and codec functions.
+// Reads the configuration log and appends to it, with blocking store calls.
+// Operators' tools use all functions. Control processes must not block, so they
+// use only BuildConfigTransaction(), BuildSnapshotTransaction() and the key and
+// codec functions of fleet_state.h.
 //
 //   LoadedConfig loaded = LoadConfig(execute);
 //   ConfigDelta delta = ...;  // version = loaded.state.version + 1
@@ -8,9 +9,10 @@
 //   if (outcome.result == CommitResult::kCommitted)
 //     WriteSnapshotIfDue(execute, delta, loaded);
 //
-// A delta is committed at most once: the transaction expects the old head and
-// the absence of its delta row, so a resent transaction conflicts with itself,
-// and the operation id in the delta row tells the two cases apart.
+// A delta is committed at most once. The transaction expects the old head and
+// the absence of its delta row, so a transaction that is sent again after it
+// was committed conflicts. The operation id in the delta row then tells whether
+// the conflict is with the earlier send or with another author's change.
 
 #ifndef RADISHMOOR_CONFIG_CONFIG_LOG_H_
 #define RADISHMOOR_CONFIG_CONFIG_LOG_H_
@@ -28,32 +30,34 @@
 
 namespace radishmoor {
 
-// The transaction that makes `delta` the next version. `head_row_version` is
-// the version of the row config/head (0: no configuration yet) and `head` its
-// value. Throws std::invalid_argument if `delta.version` does not follow
-// `head.version`.
+// Returns the transaction that makes `delta` the next version.
+// `head_row_version` is the version of the row config/head (0: no configuration
+// yet) and `head` its value. Throws std::invalid_argument if `delta.version` is
+// not `head.version + 1`.
 Transaction BuildConfigTransaction(const ConfigDelta& delta,
                                    RowVersion head_row_version,
                                    const ConfigHead& head);
 
-// The transaction that records in the head that the snapshot object of version
-// `snapshot` exists. It changes the row version of config/head but not the
-// configuration: a writer whose expectation fails on it reads the head again.
+// Returns the transaction that records in the head that the snapshot object of
+// version `snapshot` exists. It changes the row version of config/head but not
+// the configuration, so a concurrent writer gets a conflict and has to read the
+// head again. Throws std::invalid_argument if `snapshot` is older than the
+// recorded snapshot or newer than the head.
 Transaction BuildSnapshotTransaction(OperationId operation,
                                      RowVersion head_row_version,
                                      const ConfigHead& head,
                                      ConfigVersion snapshot);
 
-// True if a snapshot should be written. One that failed is due again at the
-// next version.
-inline bool SnapshotDue(const ConfigHead& head) {
+// Returns true if a snapshot should be written. A snapshot that could not be
+// written is due again at the next version.
+inline bool IsSnapshotDue(const ConfigHead& head) {
   return head.version >= head.snapshot + kSnapshotInterval;
 }
 
-// Executes one request and waits for the answer.
+// Executes one store request and blocks until it is answered or times out.
 using StoreExecutor = std::function<StoreReply(const StoreRequest& request)>;
 
-// A read failed because the store did not answer. Nothing was changed.
+// Thrown if a read fails because the store does not answer.
 class ConfigUnavailableError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -65,43 +69,49 @@
   RowVersion head_row_version = 0;
   // The deltas read on top of the snapshot, oldest first.
   std::vector<ConfigDelta> deltas;
-  // The state at `keep`, if it was passed on the way.
-  std::optional<FleetState> kept;
+  // The state at the version `version_to_keep` of LoadConfig(); absent if that
+  // version is older than the snapshot or newer than the head.
+  std::optional<FleetState> kept_state;
 };
 
-// Reads head, snapshot and the deltas after it. Without a snapshot object it
-// reads all deltas. Throws ConfigUnavailableError, and ConfigFormatError if
-// the log is damaged.
-LoadedConfig LoadConfig(const StoreExecutor& execute,
-                        std::optional<ConfigVersion> keep = std::nullopt);
+// Reads the head, the latest snapshot and the deltas after it; reads all deltas
+// if there is no snapshot object. Throws ConfigUnavailableError if the store
+// does not answer, and ConfigFormatError if the log is damaged.
+LoadedConfig LoadConfig(
+    const StoreExecutor& execute,
+    std::optional<ConfigVersion> version_to_keep = std::nullopt);
 
 enum class CommitResult : uint8_t {
   kCommitted,
-  kConflict,     // Another change took the version. Nothing was changed.
+  kConflict,     // Another change has this version. Nothing was changed.
   kUnavailable,  // The store was not reached. Nothing was changed.
-  kUnknown,      // The change may have taken or may still take effect.
+  kUnknown,      // The change may have taken effect or may still do so.
 };
 
 struct CommitOutcome {
   CommitResult result = CommitResult::kUnknown;
-  std::string reason;  // Of kUnavailable and kUnknown.
+  std::string reason;  // Set for kUnavailable and kUnknown.
 };
 
-// Commits with up to three sends; all are the same transaction.
+// Commits `delta` on top of `loaded`. Sends the same transaction up to three
+// times until the outcome is known.
 CommitOutcome CommitDelta(const StoreExecutor& execute,
                           const ConfigDelta& delta,
                           const LoadedConfig& loaded);
 
-// After `delta` was committed on `loaded`: writes the snapshot object if one
-// is due and records it in the head. False if it was due and did not succeed;
-// the next change then tries again.
+// Must be called after `delta` was committed on top of `loaded`. Writes the
+// snapshot object and records it in the head if a snapshot is due. Returns
+// false if one was due and could not be written; the snapshot is then due again
+// at the next version.
 bool WriteSnapshotIfDue(const StoreExecutor& execute,
                         const ConfigDelta& delta,
                         const LoadedConfig& loaded);
 
-// The version that `operation` committed, among the last `window` versions of
-// the log. Resolves an outcome that stayed unknown. Throws as LoadConfig().
+// Number of versions that FindOperation() searches by default.
 inline constexpr ConfigVersion kOperationWindow = 1024;
+// Returns the version that `operation` committed, if it is among the last
+// `window` versions of the log. Callers use it to resolve an unknown outcome.
+// Throws the errors of LoadConfig().
 std::optional<ConfigVersion> FindOperation(
     const StoreExecutor& execute,
     OperationId operation,
--- a/radishmoor/config/config_view.cc
+++ b/radishmoor/config/config_view.cc
@@ -10,9 +10,9 @@
 namespace radishmoor {
 namespace {
 
-// Announcements whose replies are still accepted; older ones are forgotten.
-constexpr size_t kMaxAnnounced = 8;
-constexpr size_t kMaxCalls = 16;
+// Replies to announcements before the last kMaxSentAnnouncements are ignored.
+constexpr size_t kMaxSentAnnouncements = 8;
+constexpr size_t kMaxPendingCalls = 16;
 
 }  // namespace
 
@@ -25,9 +25,9 @@
                 [this](const ConfigPeer& p) { return p.id == options_.self; });
 }
 
-// Control may have opened a drain gate before this process was in the member
-// list. A read that is sent after the registration returns that drain, so the
-// permission waits for one (6.3).
+// A control process may have found a draining host idle before this process was
+// in the member list. A read of the head that is sent after the registration
+// returns that drain, so MaySend() requires a confirmation by such a read.
 void ConfigView::SetRegistered(bool registered) {
   if (registered && !registered_) {
     registered_at_ = last_input_;
@@ -41,21 +41,21 @@
   Actions out;
   if (!started_) {
     started_ = true;
-    start_ = now;
+    started_at_ = now;
     next_poll_ = next_announce_ = now;
-    window_end_ = now + kStartWindow;
+    startup_window_end_ = now + kStartupWindow;
   }
-  std::erase_if(sponsored_, [now](const auto& entry) {
-    return now - entry.second.last_answer >= kSponsoredBusyHold;
+  std::erase_if(sponsored_processes_, [now](const auto& entry) {
+    return now - entry.second.last_answer_at >= kSponsoredBusyRetention;
   });
-  if (fetch_ && now - fetch_->sent >= kCallTimeout)
-    fetch_.reset();
+  if (peer_fetch_ && now - peer_fetch_->sent_at >= kCallTimeout)
+    peer_fetch_.reset();
   if (now >= next_poll_)
     Poll(now, out);
   if (now >= next_announce_)
     Announce(now, out);
-  if (!ready_ && now >= window_end_)
-    CloseStartWindow(now, out);
+  if (!ready_ && now >= startup_window_end_)
+    CloseStartupWindow(now, out);
   return out;
 }
 
@@ -63,14 +63,14 @@
   if (!started_)
     return kTimeZero;
   Time wake = std::min(next_poll_, next_announce_);
-  return ready_ ? wake : std::min(wake, window_end_);
+  return ready_ ? wake : std::min(wake, startup_window_end_);
 }
 
-void ConfigView::Emit(Time now,
-                      CallKind kind,
-                      StoreRequest request,
-                      Actions& out) {
-  if (calls_.size() >= kMaxCalls)
+void ConfigView::SendStoreCall(Time now,
+                               CallKind kind,
+                               StoreRequest request,
+                               Actions& out) {
+  if (calls_.size() >= kMaxPendingCalls)
     calls_.erase(calls_.begin());
   uint64_t tag = next_tag_++;
   calls_[tag] = {kind, now};
@@ -78,24 +78,24 @@
 }
 
 void ConfigView::Poll(Time now, Actions& out) {
-  bool waiting =
+  bool read_pending =
       std::any_of(calls_.begin(), calls_.end(), [now](const auto& call) {
         return call.second.kind == CallKind::kHead &&
-               now - call.second.sent < kCallTimeout;
+               now - call.second.sent_at < kCallTimeout;
       });
   next_poll_ = now + random_.Between(kPollPeriod * 9 / 10, kPollPeriod);
-  if (waiting)
+  if (read_pending)
     return;
   ++counters_.polls;
-  Emit(now, CallKind::kHead, ReadRows{{kConfigHeadKey}}, out);
+  SendStoreCall(now, CallKind::kHead, ReadRows{{kConfigHeadKey}}, out);
 }
 
 void ConfigView::Announce(Time now, Actions& out) {
   next_announce_ = now + random_.Between(kPollPeriod * 9 / 10, kPollPeriod);
   ConfigAnnouncement message{next_tag_++, version(), options_.incarnation,
-                             !registered_, busy_};
-  Announced& announced = announced_[message.request];
-  announced.sent = now;
+                             !registered_, busy_hosts_};
+  SentAnnouncement& announced = sent_announcements_[message.request];
+  announced.sent_at = now;
   std::vector<const ConfigPeer*> others;
   for (const ConfigPeer& peer : peers_) {
     if (peer.zone != options_.zone) {
@@ -103,31 +103,32 @@
       continue;
     }
     out.push_back(SendConfigMessage{peer.id, message});
-    announced.waiting.push_back(peer.id);
+    announced.unanswered.push_back(peer.id);
   }
-  message.wants_sponsor = false;  // A sponsor is of the same zone.
+  message.wants_sponsor = false;  // Sponsors are of the same zone.
   message.busy_hosts.clear();
-  for (size_t i = 0; i < kOtherZonePeers && !others.empty(); ++i) {
+  for (size_t i = 0; i < kOtherZoneAnnouncements && !others.empty(); ++i) {
     size_t pick = random_.Below(others.size());
     out.push_back(SendConfigMessage{others[pick]->id, message});
-    announced.waiting.push_back(others[pick]->id);
+    announced.unanswered.push_back(others[pick]->id);
     others.erase(others.begin() + static_cast<ptrdiff_t>(pick));
   }
-  while (announced_.size() > kMaxAnnounced)
-    announced_.erase(announced_.begin());
+  while (sent_announcements_.size() > kMaxSentAnnouncements)
+    sent_announcements_.erase(sent_announcements_.begin());
 }
 
-// Without the store, takes the largest version that the peers of the zone
-// reported within the window; without peers, opens the next window.
-void ConfigView::CloseStartWindow(Time now, Actions& out) {
-  if (window_best_ > 0 && !head_known_)
-    start_target_ = window_best_;
-  if (start_target_ > 0 && version() >= start_target_)
+// If the store has not answered, chooses the largest version that peers of the
+// zone reported within the window as the startup target. Opens the next window,
+// which is needed if no peer reported or the target is not reached yet.
+void ConfigView::CloseStartupWindow(Time now, Actions& out) {
+  if (startup_best_version_ > 0 && !head_known_)
+    startup_target_version_ = startup_best_version_;
+  if (startup_target_version_ > 0 && version() >= startup_target_version_)
     ready_ = true;
-  else if (window_best_ > version())
-    FetchFromPeer(now, window_peer_, out);
-  window_best_ = 0;
-  window_end_ = now + kStartWindow;
+  else if (startup_best_version_ > version())
+    FetchFromPeer(now, startup_best_peer_, out);
+  startup_best_version_ = 0;
+  startup_window_end_ = now + kStartupWindow;
 }
 
 std::vector<ConfigAction> ConfigView::Handle(Time now,
@@ -144,32 +145,34 @@
   ConfigVersion before = version();
   try {
     if (call.kind == CallKind::kHead && rows && rows->rows.size() == 1) {
-      failures_ = 0;
-      OnHead(now, call.sent, rows->rows[0], out);
+      consecutive_store_failures_ = 0;
+      OnHead(now, call.sent_at, rows->rows[0], out);
     } else if (call.kind == CallKind::kDeltas && rows) {
       OnDeltaRows(now, rows->rows, out);
     } else if (call.kind == CallKind::kSnapshot && object) {
       OnSnapshot(now, *object, out);
     } else {
-      StoreFailed(now);
+      OnStoreFailure(now);
     }
   } catch (const ConfigFormatError&) {
     ++counters_.format_errors;
   }
-  Advanced(before, out);
+  ReportVersionInForce(before, out);
   return out;
 }
 
-// Backs off with jitter, so that the processes of a site do not poll in step
-// while the store is down and when it returns.
-void ConfigView::StoreFailed(Time now) {
+// Backs off with jitter so that the processes of a site do not poll at the same
+// time while the store is down or when it returns.
+void ConfigView::OnStoreFailure(Time now) {
   ++counters_.store_failures;
-  failures_ = std::min<uint32_t>(failures_ + 1, 8);
-  Duration limit = std::min(kMaxBackoff, kPollPeriod * (1 << failures_) / 2);
+  consecutive_store_failures_ =
+      std::min<uint32_t>(consecutive_store_failures_ + 1, 8);
+  Duration limit = std::min(
+      kMaxBackoff, kPollPeriod * (1 << consecutive_store_failures_) / 2);
   next_poll_ = std::max(next_poll_, now + random_.Between(limit / 2, limit));
 }
 
-void ConfigView::OnHead(Time now, Time sent, const Row& row, Actions& out) {
+void ConfigView::OnHead(Time now, Time sent_at, const Row& row, Actions& out) {
   ConfigHead head;
   if (row.version != 0)
     head = DecodeHead(row.value);
@@ -178,30 +181,32 @@
     ++counters_.stale_heads;
     return;
   }
-  if (!head_known_ || head.version > head_.version || sent > head_sent_)
-    head_sent_ = sent;
+  if (!head_known_ || head.version > head_.version ||
+      sent_at > head_read_sent_at_)
+    head_read_sent_at_ = sent_at;
   head_known_ = true;
   head_ = head;
   if (row.version > head_row_.version)
     head_row_ = row;
   snapshot_failed_ = false;
   if (!ready_)
-    start_target_ = std::max(start_target_, head.version);
+    startup_target_version_ = std::max(startup_target_version_, head.version);
   FetchFromStore(now, out);
 }
 
-// Reads what is missing up to head_: a snapshot when far behind, else deltas.
+// Reads the snapshot if the version in force is more than one snapshot interval
+// behind head_, otherwise the next deltas.
 void ConfigView::FetchFromStore(Time now, Actions& out) {
   if (version() >= head_.version)
     return;
   for (const auto& [tag, call] : calls_) {
-    if (call.kind != CallKind::kHead && now - call.sent < kCallTimeout)
+    if (call.kind != CallKind::kHead && now - call.sent_at < kCallTimeout)
       return;
   }
-  bool far = head_.version - version() > kSnapshotInterval;
-  if (far && head_.snapshot > version() && !snapshot_failed_) {
-    Emit(now, CallKind::kSnapshot,
-         ReadObject{ConfigSnapshotKey(head_.snapshot)}, out);
+  bool far_behind = head_.version - version() > kSnapshotInterval;
+  if (far_behind && head_.snapshot > version() && !snapshot_failed_) {
+    SendStoreCall(now, CallKind::kSnapshot,
+                  ReadObject{ConfigSnapshotKey(head_.snapshot)}, out);
     return;
   }
   ReadRows read;
@@ -209,7 +214,7 @@
       std::min<ConfigVersion>(head_.version, version() + kDeltasPerRead);
   for (ConfigVersion v = version() + 1; v <= last; ++v)
     read.keys.push_back(ConfigDeltaKey(v));
-  Emit(now, CallKind::kDeltas, std::move(read), out);
+  SendStoreCall(now, CallKind::kDeltas, std::move(read), out);
 }
 
 void ConfigView::OnDeltaRows(Time now,
@@ -217,16 +222,16 @@
                              Actions& out) {
   ConfigVersion before = version();
   for (const Row& row : rows) {
-    if (row.version != 0 && !ApplyText(row.value))
+    if (row.version != 0 && !ApplyEncodedDelta(row.value))
       break;
   }
-  // Without progress the next poll tries again.
+  // If no delta could be applied, the next poll reads them again.
   if (version() > before)
     FetchFromStore(now, out);
 }
 
 void ConfigView::OnSnapshot(Time now, const ObjectReply& reply, Actions& out) {
-  snapshot_failed_ = !reply.found || !AdoptState(reply.data);
+  snapshot_failed_ = !reply.found || !AdoptEncodedState(reply.data);
   FetchFromStore(now, out);
 }
 
@@ -236,116 +241,123 @@
   last_input_ = std::max(last_input_, now);
   Actions out;
   ConfigVersion before = version();
-  std::visit([&](const auto& m) { On(now, from, m, out); }, message);
-  Advanced(before, out);
+  std::visit([&](const auto& m) { OnMessage(now, from, m, out); }, message);
+  ReportVersionInForce(before, out);
   return out;
 }
 
-void ConfigView::On(Time now,
-                    const MemberId& from,
-                    const ConfigAnnouncement& m,
-                    Actions& out) {
+void ConfigView::OnMessage(Time now,
+                           const MemberId& from,
+                           const ConfigAnnouncement& m,
+                           Actions& out) {
   ConfigAnnouncementReply reply{m.request, version(), ConfirmedAge(now),
-                                Sponsor(now, from, m)};
+                                TrySponsor(now, from, m)};
   out.push_back(SendConfigMessage{from, reply});
   if (ready_ && m.version > version())
     FetchFromPeer(now, from, out);
 }
 
-bool ConfigView::Sponsor(Time now,
-                         const MemberId& from,
-                         const ConfigAnnouncement& m) {
-  auto it = sponsored_.find(from);
-  bool known = it != sponsored_.end();
-  // A late announcement must not replace what a later one reported.
-  if (known && std::pair(m.incarnation, m.request) <=
-                   std::pair(it->second.incarnation, it->second.request)) {
+bool ConfigView::TrySponsor(Time now,
+                            const MemberId& from,
+                            const ConfigAnnouncement& m) {
+  auto it = sponsored_processes_.find(from);
+  bool already_sponsored = it != sponsored_processes_.end();
+  // A delayed announcement must not replace the data of a later one.
+  if (already_sponsored &&
+      std::pair(m.incarnation, m.request) <=
+          std::pair(it->second.incarnation, it->second.request)) {
     return false;
   }
   if (!m.wants_sponsor) {
-    // The process registered: its own row acknowledges from now on.
-    if (known)
-      sponsored_.erase(it);
+    // The process has registered; its own row acknowledges versions from now
+    // on.
+    if (already_sponsored)
+      sponsored_processes_.erase(it);
     return false;
   }
-  // A process below the version that this one acknowledged may send to hosts
-  // that control has moved since.
-  if (!registered_ || !IsPeer(from) || m.version < acknowledged_ ||
-      (!known && sponsored_.size() >= kMaxSponsored)) {
+  // A process with an older version than the acknowledged one may send to hosts
+  // that a control process has changed since, so it cannot be sponsored.
+  if (!registered_ || !IsZonePeer(from) || m.version < acknowledged_version_ ||
+      (!already_sponsored && sponsored_processes_.size() >= kMaxSponsored)) {
     ++counters_.sponsor_refusals;
     return false;
   }
-  sponsored_[from] = {m.incarnation, m.request, m.version, now, m.busy_hosts};
+  sponsored_processes_[from] = {m.incarnation, m.request, m.version, now,
+                                m.busy_hosts};
   return true;
 }
 
-void ConfigView::On(Time now,
-                    const MemberId& from,
-                    const ConfigAnnouncementReply& m,
-                    Actions& out) {
-  auto it = announced_.find(m.request);
-  if (it == announced_.end() || std::erase(it->second.waiting, from) == 0) {
+void ConfigView::OnMessage(Time now,
+                           const MemberId& from,
+                           const ConfigAnnouncementReply& m,
+                           Actions& out) {
+  auto it = sent_announcements_.find(m.request);
+  if (it == sent_announcements_.end() ||
+      std::erase(it->second.unanswered, from) == 0) {
     return;
   }
-  Time sent = it->second.sent;
+  Time sent_at = it->second.sent_at;
   if (m.sponsors) {
-    sponsored_until_ = std::max(sponsored_until_, sent + kSponsorTerm);
-    sponsored_ever_ = true;
+    sponsored_until_ = std::max(sponsored_until_, sent_at + kSponsorshipTerm);
+    ever_sponsored_ = true;
   }
   if (m.version == version() && version() > 0 && m.confirmed_age) {
     ++counters_.peer_confirmations;
-    Confirm(sent - *m.confirmed_age);
+    Confirm(sent_at - *m.confirmed_age);
   }
-  if (m.version > window_best_ && IsPeer(from)) {
-    window_best_ = m.version;
-    window_peer_ = from;
+  if (m.version > startup_best_version_ && IsZonePeer(from)) {
+    startup_best_version_ = m.version;
+    startup_best_peer_ = from;
   }
   if (ready_ && m.version > version())
     FetchFromPeer(now, from, out);
 }
 
 void ConfigView::FetchFromPeer(Time now, const MemberId& peer, Actions& out) {
-  if (fetch_ && now - fetch_->sent < kCallTimeout)
+  if (peer_fetch_ && now - peer_fetch_->sent_at < kCallTimeout)
     return;
-  fetch_ = PeerFetch{peer, 0, now, 0, ""};
-  RequestFromPeer(now, out);
+  peer_fetch_ = PeerFetch{peer, 0, now, 0, ""};
+  RequestNextPart(now, out);
 }
 
-void ConfigView::RequestFromPeer(Time now, Actions& out) {
-  fetch_->request = next_tag_++;
-  fetch_->sent = now;
+void ConfigView::RequestNextPart(Time now, Actions& out) {
+  peer_fetch_->request = next_tag_++;
+  peer_fetch_->sent_at = now;
   out.push_back(SendConfigMessage{
-      fetch_->peer,
-      ConfigDeltaRequest{fetch_->request, version(), fetch_->state_version,
-                         fetch_->state_text.size()}});
+      peer_fetch_->peer, ConfigDeltaRequest{peer_fetch_->request, version(),
+                                            peer_fetch_->state_version,
+                                            peer_fetch_->state_text.size()}});
 }
 
-void ConfigView::On(Time /*now*/,
-                    const MemberId& from,
-                    const ConfigDeltaRequest& m,
-                    Actions& out) {
+void ConfigView::OnMessage(Time /*now*/,
+                           const MemberId& from,
+                           const ConfigDeltaRequest& m,
+                           Actions& out) {
   ConfigDeltaAnswer answer{.request = m.request};
-  bool in_log = m.version < version() && version() - m.version <= log_.size();
-  if (in_log && m.state_version == 0) {
+  bool has_deltas =
+      m.version < version() && version() - m.version <= recent_deltas_.size();
+  if (has_deltas && m.state_version == 0) {
     size_t bytes = 0;
-    for (size_t i = log_.size() - (version() - m.version); i < log_.size();
-         ++i) {
-      if (bytes > 0 && bytes + log_[i].size() > kMaxAnswerBytes)
+    for (size_t i = recent_deltas_.size() - (version() - m.version);
+         i < recent_deltas_.size(); ++i) {
+      if (bytes > 0 && bytes + recent_deltas_[i].size() > kMaxAnswerBytes)
         break;
-      bytes += log_[i].size();
-      answer.deltas.push_back(log_[i]);
+      bytes += recent_deltas_[i].size();
+      answer.deltas.push_back(recent_deltas_[i]);
     }
   } else if (m.version < version()) {
-    // The state at which a transfer began is kept until the next one begins.
-    if (encoded_version_ == 0 || m.state_version != encoded_version_) {
-      if (encoded_version_ != version()) {
+    // The encoded state of a transfer in progress is kept until another
+    // transfer begins, so that its parts fit together.
+    if (encoded_state_version_ == 0 ||
+        m.state_version != encoded_state_version_) {
+      if (encoded_state_version_ != version()) {
         encoded_state_ = EncodeState(state_);
-        encoded_version_ = version();
+        encoded_state_version_ = version();
       }
     }
-    answer.state_version = encoded_version_;
+    answer.state_version = encoded_state_version_;
     answer.state_size = encoded_state_.size();
-    if (m.state_version == encoded_version_)
+    if (m.state_version == encoded_state_version_)
       answer.state_offset =
           std::min<uint64_t>(m.state_offset, encoded_state_.size());
     answer.state_part =
@@ -354,11 +366,12 @@
   out.push_back(SendConfigMessage{from, std::move(answer)});
 }
 
-void ConfigView::On(Time now,
-                    const MemberId& from,
-                    const ConfigDeltaAnswer& m,
-                    Actions& out) {
-  if (!fetch_ || fetch_->peer != from || fetch_->request != m.request)
+void ConfigView::OnMessage(Time now,
+                           const MemberId& from,
+                           const ConfigDeltaAnswer& m,
+                           Actions& out) {
+  if (!peer_fetch_ || peer_fetch_->peer != from ||
+      peer_fetch_->request != m.request)
     return;
   if (m.state_version != 0) {
     OnStatePart(now, m, out);
@@ -366,13 +379,13 @@
   }
   ConfigVersion before = version();
   for (const std::string& delta : m.deltas) {
-    if (!ApplyText(delta))
+    if (!ApplyEncodedDelta(delta))
       break;
   }
   if (version() > before)
-    RequestFromPeer(now, out);  // Ends with an empty answer.
+    RequestNextPart(now, out);  // An empty answer ends the transfer.
   else
-    fetch_.reset();
+    peer_fetch_.reset();
 }
 
 void ConfigView::OnStatePart(Time now,
@@ -380,32 +393,32 @@
                              Actions& out) {
   if (m.state_version <= version() || m.state_size > kMaxStateBytes ||
       m.state_part.empty()) {
-    fetch_.reset();
+    peer_fetch_.reset();
     return;
   }
-  if (m.state_version != fetch_->state_version) {
-    fetch_->state_version = m.state_version;
-    fetch_->state_text.clear();
+  if (m.state_version != peer_fetch_->state_version) {
+    peer_fetch_->state_version = m.state_version;
+    peer_fetch_->state_text.clear();
   }
-  if (m.state_offset != fetch_->state_text.size()) {
-    fetch_.reset();
+  if (m.state_offset != peer_fetch_->state_text.size()) {
+    peer_fetch_.reset();
     return;
   }
-  fetch_->state_text += m.state_part;
-  if (fetch_->state_text.size() < m.state_size) {
-    RequestFromPeer(now, out);
+  peer_fetch_->state_text += m.state_part;
+  if (peer_fetch_->state_text.size() < m.state_size) {
+    RequestNextPart(now, out);
     return;
   }
-  bool adopted = AdoptState(fetch_->state_text);
-  fetch_->state_version = 0;
-  fetch_->state_text.clear();
+  bool adopted = AdoptEncodedState(peer_fetch_->state_text);
+  peer_fetch_->state_version = 0;
+  peer_fetch_->state_text.clear();
   if (adopted)
-    RequestFromPeer(now, out);
+    RequestNextPart(now, out);
   else
-    fetch_.reset();
+    peer_fetch_.reset();
 }
 
-bool ConfigView::ApplyText(const std::string& text) {
+bool ConfigView::ApplyEncodedDelta(const std::string& text) {
   try {
     ConfigDelta delta = DecodeDelta(text);
     if (delta.version <= version())
@@ -418,16 +431,17 @@
     return false;
   }
   ++counters_.deltas_applied;
-  log_.push_back(text);
-  log_bytes_ += text.size();
-  while (log_.size() > kMaxLogDeltas || log_bytes_ > kMaxLogBytes) {
-    log_bytes_ -= log_.front().size();
-    log_.pop_front();
+  recent_deltas_.push_back(text);
+  recent_delta_bytes_ += text.size();
+  while (recent_deltas_.size() > kMaxRecentDeltas ||
+         recent_delta_bytes_ > kMaxRecentDeltaBytes) {
+    recent_delta_bytes_ -= recent_deltas_.front().size();
+    recent_deltas_.pop_front();
   }
   return true;
 }
 
-bool ConfigView::AdoptState(const std::string& text) {
+bool ConfigView::AdoptEncodedState(const std::string& text) {
   try {
     FleetState state = DecodeState(text);
     if (state.version <= version())
@@ -438,43 +452,49 @@
     return false;
   }
   ++counters_.states_adopted;
-  log_.clear();  // The log must end at the version in force without a gap.
-  log_bytes_ = 0;
+  // The kept deltas must lead to the version in force without a gap.
+  recent_deltas_.clear();
+  recent_delta_bytes_ = 0;
   return true;
 }
 
-void ConfigView::Advanced(ConfigVersion before, Actions& out) {
+void ConfigView::ReportVersionInForce(ConfigVersion before, Actions& out) {
   RADISHMOOR_INVARIANT("config.version_never_decreases", version() >= before);
   if (version() > before)
     out.push_back(ConfigInForce{version()});
   if (head_known_ && version() == head_.version)
-    Confirm(head_sent_);
-  if (version() > 0 && start_target_ > 0 && version() >= start_target_)
+    Confirm(head_read_sent_at_);
+  if (version() > 0 && startup_target_version_ > 0 &&
+      version() >= startup_target_version_)
     ready_ = true;
 }
 
-void ConfigView::Confirm(Time sent) {
-  if (!confirmed_ || sent > *confirmed_)
-    confirmed_ = sent;
+void ConfigView::Confirm(Time sent_at) {
+  if (!confirmed_at_ || sent_at > *confirmed_at_)
+    confirmed_at_ = sent_at;
 }
 
-bool ConfigView::IsPeer(const MemberId& id) const {
+bool ConfigView::IsZonePeer(const MemberId& id) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const ConfigPeer& p) {
     return p.id == id && p.zone == options_.zone;
   });
 }
 
 std::optional<Duration> ConfigView::ConfirmedAge(Time now) const {
-  if (!confirmed_)
+  if (!confirmed_at_)
     return std::nullopt;
-  return now - *confirmed_;
+  return now - *confirmed_at_;
 }
 
 bool ConfigView::MaySend(Time now) const {
-  // Control waits only for processes that have a member row or a sponsor, also
-  // of other zones when all of those acknowledged at once.
-  bool own_right = registered_ && confirmed_ && *confirmed_ > registered_at_;
-  return ready_ && (own_right || (sponsored_ever_ && now < sponsored_until_));
+  // Control processes wait only for processes that have a member row or a
+  // sponsor. This holds for sends to other zones too: if all registered
+  // processes have acknowledged the drain, control does not wait for the
+  // confirmation age.
+  bool by_registration =
+      registered_ && confirmed_at_ && *confirmed_at_ > registered_at_;
+  return ready_ &&
+         (by_registration || (ever_sponsored_ && now < sponsored_until_));
 }
 
 bool ConfigView::MaySend(Time now, const HostId& id) const {
@@ -484,30 +504,30 @@
   if (host == nullptr || host->phase != HostPhase::kActive)
     return false;
   return host->zone == options_.zone ||
-         (confirmed_ && now - *confirmed_ <= kFreshness);
+         (confirmed_at_ && now - *confirmed_at_ <= kMaxConfirmationAge);
 }
 
 ConfigVersion ConfigView::AcknowledgedVersion(Time now) {
-  // An earlier incarnation may have sponsored a process whose permission still
-  // runs; nothing is acknowledged until it has ended.
-  if (!started_ || now - start_ < kSponsorTerm + kSponsorMargin)
-    return acknowledged_;
-  ConfigVersion lowest = version();
-  for (const auto& [id, entry] : sponsored_) {
-    if (now - entry.last_answer < kSponsorTerm + kSponsorMargin)
-      lowest = std::min(lowest, entry.version);
+  // An earlier incarnation of this process may have sponsored a process that
+  // may still send. Nothing is acknowledged until that permission has expired.
+  if (!started_ || now - started_at_ < kSponsorshipTerm + kSponsorshipMargin)
+    return acknowledged_version_;
+  ConfigVersion lowest_version = version();
+  for (const auto& [id, entry] : sponsored_processes_) {
+    if (now - entry.last_answer_at < kSponsorshipTerm + kSponsorshipMargin)
+      lowest_version = std::min(lowest_version, entry.version);
   }
   RADISHMOOR_INVARIANT("config.acknowledged_never_decreases",
-                       lowest >= acknowledged_);
-  acknowledged_ = std::max(acknowledged_, lowest);
-  return acknowledged_;
+                       lowest_version >= acknowledged_version_);
+  acknowledged_version_ = std::max(acknowledged_version_, lowest_version);
+  return acknowledged_version_;
 }
 
 std::vector<HostId> ConfigView::AcknowledgedBusyHosts(Time now) const {
-  std::set<HostId> busy(busy_.begin(), busy_.end());
-  for (const auto& [id, entry] : sponsored_) {
-    if (now - entry.last_answer < kSponsoredBusyHold)
-      busy.insert(entry.busy.begin(), entry.busy.end());
+  std::set<HostId> busy(busy_hosts_.begin(), busy_hosts_.end());
+  for (const auto& [id, entry] : sponsored_processes_) {
+    if (now - entry.last_answer_at < kSponsoredBusyRetention)
+      busy.insert(entry.busy_hosts.begin(), entry.busy_hosts.end());
   }
   return {busy.begin(), busy.end()};
 }
--- a/radishmoor/config/errors.h
+++ b/radishmoor/config/errors.h
@@ -1,5 +1,3 @@
-// Errors of the config slice.
-
 #ifndef RADISHMOOR_CONFIG_ERRORS_H_
 #define RADISHMOOR_CONFIG_ERRORS_H_
 
@@ -7,8 +5,8 @@
 
 namespace radishmoor {
 
-// Stored configuration text that cannot be decoded. The store holds something
-// that another program or an incompatible version wrote.
+// Thrown if stored configuration text cannot be decoded, because another
+// program or an incompatible version of this one wrote it.
 class ConfigFormatError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/radishmoor/config/fleet_state.cc
+++ b/radishmoor/config/fleet_state.cc
@@ -145,7 +145,8 @@
   });
 }
 
-// Runs `decode` on the parsed object; turns parser errors into this layer's.
+// Runs `decode` on the parsed object. Converts its errors and those of the
+// parser to ConfigFormatError.
 template <typename Decode>
 auto DecodeObject(const std::string& text, const char* what, Decode decode) {
   try {
--- a/radishmoor/config/fleet_state.h
+++ b/radishmoor/config/fleet_state.h
@@ -1,15 +1,16 @@
-// The fleet as the accepted configuration describes it: pools, teams and hosts
-// with their current pool, epoch and state, all at one version.
+// The fleet as one version of the accepted configuration describes it: pools,
+// teams, and hosts with their current pool, epoch and phase.
 //
 //   FleetState state;
-//   state = state.Apply(delta);            // delta.version == state.version +
-//   1 const HostState* host = state.FindHost(HostId("w-1"));
+//   state.Apply(delta);  // delta.version == state.version + 1
+//   const HostState* host = state.FindHost(HostId("w-1"));
 //
 // The accepted configuration is a log: the row `config/head` holds the latest
 // version, and each version n has one delta that leads from n-1 to n. A delta
 // and the new head are committed in one transaction that expects the old head,
-// so all changes of hosts and pools have one total order. This order is what
-// keeps a host in one pool and a budget reservation atomic.
+// so all changes of hosts and pools have one total order. This order ensures
+// that a host is in one pool only and that reserving availability budget is
+// atomic.
 
 #ifndef RADISHMOOR_CONFIG_FLEET_STATE_H_
 #define RADISHMOOR_CONFIG_FLEET_STATE_H_
@@ -23,15 +24,20 @@
 
 namespace radishmoor {
 
-// What the operator wants for a host.
-enum class HostIntent : uint8_t { kServe, kDrain, kRetire };
+// The state in which the operator wants a host.
+enum class HostIntent : uint8_t {
+  kServe,   // Serves its pool.
+  kDrain,   // Stays out of service until the intent changes.
+  kRetire,  // Leaves the fleet for good.
+};
 
-// Where a host is in its life. Only kActive hosts receive new requests.
+// The current stage of a host, as control processes set it. Only kActive hosts
+// receive new requests.
 enum class HostPhase : uint8_t {
   kActive,     // Serves its pool.
   kDraining,   // Receives no new requests; requests in flight finish.
-  kDrained,    // No process may send to it; it is idle.
-  kRebooting,  // Maintenance runs.
+  kDrained,    // Is idle; no process may send to it.
+  kRebooting,  // Is being maintained.
   kRetired,    // Left the fleet for good.
 };
 
@@ -46,16 +52,18 @@
   uint32_t slots = 8;
   uint32_t connections = 64;
 
-  PoolId wanted_pool;  // From the inventory; differs from `pool` until moved.
+  // Pool in the operator's inventory; differs from `pool` until control has
+  // moved the host.
+  PoolId wanted_pool;
   HostIntent intent = HostIntent::kServe;
 
-  PoolId pool;          // The one pool that the host belongs to.
-  HostEpoch epoch = 1;  // Grows whenever `pool` changes.
+  PoolId pool;          // The pool that the host serves now.
+  HostEpoch epoch = 1;  // Increases whenever `pool` changes.
   HostPhase phase = HostPhase::kActive;
-  // Version of the change that started the current drain; a member whose
+  // Version of the change that started the current drain. A member whose
   // version in force is at least this one sends no new requests to the host.
   ConfigVersion drain_version = 0;
-  // Name of the last maintenance round that the host completed.
+  // Name of the maintenance round for which the host was last rebooted.
   std::string maintained;
 
   friend bool operator==(const HostState&, const HostState&) = default;
@@ -63,15 +71,16 @@
 
 struct PoolState {
   PoolId id;
-  // Availability budget: at most this many hosts of the pool may be
-  // unavailable at once.
+  // Availability budget: the maximum number of hosts of the pool that may be
+  // unavailable at the same time.
   uint32_t max_unavailable = 1;
-  // At most this many hosts of the pool in maintenance at once.
+  // Maximum number of hosts of the pool that are in maintenance at the same
+  // time.
   uint32_t wave_limit = 1;
   bool spare = false;   // Lends hosts to other pools.
   bool closed = false;  // Being retired: accepts no new requests.
   uint32_t default_deadline_ms = 2000;
-  uint32_t queue_limit = 1000;  // Requests for each entry process.
+  uint32_t queue_limit = 1000;  // Waiting requests in each entry process.
 
   friend bool operator==(const PoolState&, const PoolState&) = default;
 };
@@ -84,23 +93,25 @@
   friend bool operator==(const TeamState&, const TeamState&) = default;
 };
 
-// Rules for the whole site.
+// Maintenance rules of the whole site.
 struct SiteRules {
-  // Name of the maintenance round that every host should complete; empty means
-  // that no maintenance is wanted.
+  // Name of the maintenance round that every host should complete; empty if no
+  // maintenance is wanted.
   std::string maintenance;
-  // At most this many racks in maintenance at once.
+  // Maximum number of racks that are in maintenance at the same time.
   uint32_t max_racks_in_maintenance = 1;
 
   friend bool operator==(const SiteRules&, const SiteRules&) = default;
 };
 
-// One step of the accepted configuration. Holds whole new values of what
-// changed.
+// The change from one version of the accepted configuration to the next. Holds
+// the complete new value of each object that changed.
 struct ConfigDelta {
   ConfigVersion version = 0;
-  OperationId operation;  // Chosen by the author; resolves lost answers.
-  std::string author;     // Operator or member that made the change.
+  // Chosen by the author, who finds out by it whether a change was committed
+  // after its answer was lost.
+  OperationId operation;
+  std::string author;  // Operator or member that made the change.
   std::vector<HostState> hosts;
   std::vector<HostId> removed_hosts;
   std::vector<PoolState> pools;
@@ -120,32 +131,34 @@
   std::map<TeamId, TeamState> teams;
   SiteRules rules;
 
-  // Applies the next delta in place. Throws std::invalid_argument when
-  // `delta.version` is not `version + 1`. Cost: O(changes * log size).
+  // Applies the next delta in place. Throws std::invalid_argument if
+  // `delta.version` is not `version + 1`. Cost: O(changes * log objects).
   void Apply(const ConfigDelta& delta);
 
-  // Null when there is none.
+  // Return null if there is no such host or pool.
   const HostState* FindHost(const HostId& id) const;
   const PoolState* FindPool(const PoolId& id) const;
 
   friend bool operator==(const FleetState&, const FleetState&) = default;
 };
 
-// Row and object keys of the configuration log.
+// Keys of the configuration log's rows and objects.
 inline constexpr char kConfigHeadKey[] = "config/head";
-// Row "config/delta/<20 digits>": keys sort by version.
+// Returns the row key "config/delta/<20 digits>". Keys sort by version.
 std::string ConfigDeltaKey(ConfigVersion version);
-// Object "config/snapshot/<20 digits>": the whole state at that version,
-// written every kSnapshotInterval versions.
+// Returns the object key "config/snapshot/<20 digits>". The object holds the
+// whole state at that version; one is written every kSnapshotInterval versions.
 std::string ConfigSnapshotKey(ConfigVersion version);
 inline constexpr ConfigVersion kSnapshotInterval = 64;
 
-// JSON text of a delta, a whole state and the head row, as stored. The parsers
-// throw ConfigFormatError on text that these functions did not write.
+// Value of the row `config/head`.
 struct ConfigHead {
   ConfigVersion version = 0;
   ConfigVersion snapshot = 0;  // Latest version with a snapshot object, or 0.
 };
+
+// Encode a delta, a whole state and the head as the stored JSON text. The
+// decoders throw ConfigFormatError if the text does not have this form.
 std::string EncodeDelta(const ConfigDelta& delta);
 ConfigDelta DecodeDelta(const std::string& text);
 std::string EncodeState(const FleetState& state);
--- a/radishmoor/config/inventory.cc
+++ b/radishmoor/config/inventory.cc
@@ -17,7 +17,8 @@
 
 constexpr size_t kMaxNameLength = 64;
 
-// Text of unknown origin in an error must not add lines or terminal codes.
+// Replaces control characters, so that text from the file cannot add lines or
+// terminal escape codes to an error message.
 std::string Printable(std::string text) {
   for (char& c : text) {
     if (std::iscntrl(static_cast<unsigned char>(c)) != 0)
@@ -26,8 +27,8 @@
   return text;
 }
 
-// Collects errors up to the limit and counts the rest.
-class Errors {
+// Collects up to kMaxListedErrors errors and counts the rest.
+class ErrorList {
  public:
   void Add(std::string path, std::string problem, std::string remedy) {
     ++count_;
@@ -38,7 +39,7 @@
 
   size_t count() const { return count_; }
 
-  std::vector<InventoryError> Take() {
+  std::vector<InventoryError> TakeErrors() {
     if (count_ > list_.size()) {
       list_.push_back({"$", 0, 0,
                        std::to_string(count_ - list_.size()) +
@@ -53,11 +54,12 @@
   size_t count_ = 0;
 };
 
-// Handler of the streaming parser. The document type of Boost.JSON keeps the
-// last of several equal keys, so repeated keys are found here.
-class KeyChecker {
+// Handler of Boost.JSON's streaming parser that reports keys that occur twice
+// in an object. Boost.JSON's document type keeps the last of them without an
+// error.
+class DuplicateKeyChecker {
  public:
-  // The parser requires these names.
+  // Boost.JSON's parser requires these names.
   // NOLINTBEGIN(readability-identifier-naming)
   static constexpr size_t max_object_size = kMaxHosts;
   static constexpr size_t max_array_size = kMaxHosts;
@@ -65,15 +67,15 @@
   static constexpr size_t max_string_size = 1024;
   // NOLINTEND(readability-identifier-naming)
 
-  explicit KeyChecker(Errors* errors) : errors_(errors) {}
+  explicit DuplicateKeyChecker(ErrorList* errors) : errors_(errors) {}
 
   using Code = json::error_code;
   bool on_document_begin(Code&) { return true; }
   bool on_document_end(Code&) { return true; }
-  bool on_object_begin(Code&) { return Open(true); }
-  bool on_object_end(size_t, Code&) { return Close(); }
-  bool on_array_begin(Code&) { return Open(false); }
-  bool on_array_end(size_t, Code&) { return Close(); }
+  bool on_object_begin(Code&) { return BeginContainer(true); }
+  bool on_object_end(size_t, Code&) { return EndContainer(); }
+  bool on_array_begin(Code&) { return BeginContainer(false); }
+  bool on_array_end(size_t, Code&) { return EndContainer(); }
   bool on_key_part(json::string_view part, size_t, Code&) {
     key_.append(part.data(), part.size());
     return true;
@@ -89,13 +91,13 @@
     return true;
   }
   bool on_string_part(json::string_view, size_t, Code&) { return true; }
-  bool on_string(json::string_view, size_t, Code&) { return Value(); }
+  bool on_string(json::string_view, size_t, Code&) { return EndValue(); }
   bool on_number_part(json::string_view, Code&) { return true; }
-  bool on_int64(int64_t, json::string_view, Code&) { return Value(); }
-  bool on_uint64(uint64_t, json::string_view, Code&) { return Value(); }
-  bool on_double(double, json::string_view, Code&) { return Value(); }
-  bool on_bool(bool, Code&) { return Value(); }
-  bool on_null(Code&) { return Value(); }
+  bool on_int64(int64_t, json::string_view, Code&) { return EndValue(); }
+  bool on_uint64(uint64_t, json::string_view, Code&) { return EndValue(); }
+  bool on_double(double, json::string_view, Code&) { return EndValue(); }
+  bool on_bool(bool, Code&) { return EndValue(); }
+  bool on_null(Code&) { return EndValue(); }
   bool on_comment_part(json::string_view, Code&) { return true; }
   bool on_comment(json::string_view, Code&) { return true; }
 
@@ -107,16 +109,17 @@
     size_t index = 0;
   };
 
-  bool Open(bool is_object) {
+  bool BeginContainer(bool is_object) {
     levels_.push_back({is_object});
     return true;
   }
-  bool Close() {
+  bool EndContainer() {
     levels_.pop_back();
-    return Value();
+    return EndValue();
   }
-  // A value is complete: the next one of an array has the next index.
-  bool Value() {
+  // Called after each complete value: the next element of an array has the next
+  // index.
+  bool EndValue() {
     if (!levels_.empty())
       ++levels_.back().index;
     return true;
@@ -130,7 +133,7 @@
     return path;
   }
 
-  Errors* errors_;
+  ErrorList* errors_;
   std::vector<Level> levels_;
   std::string key_;
 };
@@ -146,14 +149,16 @@
   error.column =
       1 + (newline == std::string_view::npos ? offset : offset - newline - 1);
   error.problem = "not valid JSON: " + code.message();
-  error.remedy = "correct the text at or shortly before this place";
+  error.remedy = "correct the text at or shortly before this position";
   return error;
 }
 
-// Finds errors of the syntax and repeated keys.
+// Returns the syntax error of the text, if any. Adds an error for each repeated
+// key.
 std::optional<InventoryError> CheckSyntax(std::string_view text,
-                                          Errors& errors) {
-  json::basic_parser<KeyChecker> parser(json::parse_options{}, &errors);
+                                          ErrorList& errors) {
+  json::basic_parser<DuplicateKeyChecker> parser(json::parse_options{},
+                                                 &errors);
   json::error_code code;
   size_t used = parser.write_some(false, text.data(), text.size(), code);
   if (!code && used < text.size())
@@ -193,9 +198,9 @@
     case json::kind::null:
       return "null";
     case json::kind::bool_:
-      return "a truth value";
+      return "a boolean";
     case json::kind::string:
-      return "a text";
+      return "a string";
     case json::kind::array:
       return "an array";
     case json::kind::object:
@@ -207,11 +212,11 @@
   }
 }
 
-// Reads the fields of one object and remembers which it knows. An absent field
-// without a default and a faulty field add an error and give the default.
-class Fields {
+// Reads the fields of one JSON object. A missing required field and an invalid
+// field add an error; the reader then returns a default.
+class ObjectFields {
  public:
-  Fields(const json::value& value, std::string path, Errors& errors)
+  ObjectFields(const json::value& value, std::string path, ErrorList& errors)
       : path_(std::move(path)), errors_(errors), object_(value.if_object()) {
     if (object_ == nullptr) {
       errors_.Add(path_,
@@ -226,36 +231,36 @@
   }
 
   std::string Name(std::string_view key) {
-    const json::value* value = Take(key, true);
+    const json::value* value = TakeField(key, true);
     if (value == nullptr)
       return "";
     const json::string* text = value->if_string();
     if (text != nullptr && IsName(*text))
       return std::string(*text);
     errors_.Add(Path(key),
-                text != nullptr
-                    ? "is not a name"
-                    : std::string("expected a text, found ") + KindName(*value),
+                text != nullptr ? "is not a name"
+                                : std::string("expected a string, found ") +
+                                      KindName(*value),
                 "write 1 to 64 characters of A-Z a-z 0-9 . _ -");
     return "";
   }
 
-  // An absent name is empty.
+  // Returns an empty string if the field is missing.
   std::string OptionalName(std::string_view key) {
     if (!ok() || object_->if_contains(key) == nullptr) {
-      known_.emplace(key);
+      known_keys_.emplace(key);
       return "";
     }
     const json::string* text = object_->at(key).if_string();
     if (text != nullptr && text->empty()) {
-      known_.emplace(key);
+      known_keys_.emplace(key);
       return "";
     }
     return Name(key);
   }
 
   std::string Address(std::string_view key) {
-    const json::value* value = Take(key, true);
+    const json::value* value = TakeField(key, true);
     if (value == nullptr)
       return "";
     const json::string* text = value->if_string();
@@ -270,7 +275,7 @@
                    std::optional<uint32_t> fallback,
                    uint32_t min,
                    uint32_t max) {
-    const json::value* value = Take(key, !fallback);
+    const json::value* value = TakeField(key, !fallback);
     if (value == nullptr)
       return fallback.value_or(min);
     std::string range = "write an integer from " + std::to_string(min) +
@@ -291,7 +296,7 @@
   }
 
   bool Flag(std::string_view key) {
-    const json::value* value = Take(key, false);
+    const json::value* value = TakeField(key, false);
     if (value == nullptr)
       return false;
     if (value->is_bool())
@@ -304,7 +309,7 @@
   }
 
   HostIntent Intent(std::string_view key) {
-    const json::value* value = Take(key, false);
+    const json::value* value = TakeField(key, false);
     if (value == nullptr)
       return HostIntent::kServe;
     const json::string* text = value->if_string();
@@ -321,7 +326,7 @@
   // Calls `read(element, path)` for each element of an array.
   template <typename Read>
   void Array(std::string_view key, bool required, size_t limit, Read read) {
-    const json::value* value = Take(key, required);
+    const json::value* value = TakeField(key, required);
     if (value == nullptr)
       return;
     const json::array* array = value->if_array();
@@ -341,8 +346,10 @@
       read((*array)[i], Path(key) + "[" + std::to_string(i) + "]");
   }
 
-  const json::value* Take(std::string_view key, bool required) {
-    known_.emplace(key);
+  // Returns the value of a field, or null if it is missing. Adds an error if it
+  // is missing and required.
+  const json::value* TakeField(std::string_view key, bool required) {
+    known_keys_.emplace(key);
     if (!ok())
       return nullptr;
     const json::value* value = object_->if_contains(key);
@@ -351,15 +358,16 @@
     return value;
   }
 
-  // Reports fields that nobody asked for. Call it last.
-  void Finish() {
+  // Adds an error for each field that was not read. Must be called after all
+  // known fields were read.
+  void ReportUnknownFields() {
     if (!ok())
       return;
     for (const auto& field : *object_) {
-      if (known_.contains(std::string_view{field.key()}))
+      if (known_keys_.contains(std::string_view{field.key()}))
         continue;
       std::string names;
-      for (const std::string& name : known_)
+      for (const std::string& name : known_keys_)
         names += (names.empty() ? "" : ", ") + name;
       errors_.Add(Path(field.key()), "unknown field",
                   "remove it; known fields are " + names);
@@ -368,18 +376,18 @@
 
  private:
   std::string path_;
-  Errors& errors_;
+  ErrorList& errors_;
   const json::object* object_;
-  std::set<std::string, std::less<>> known_;
+  std::set<std::string, std::less<>> known_keys_;
 };
 
-// Reads the document and checks what the parts say about each other.
-class Reader {
+// Reads the document and checks the references between its parts.
+class InventoryReader {
  public:
-  explicit Reader(Errors& errors) : errors_(errors) {}
+  explicit InventoryReader(ErrorList& errors) : errors_(errors) {}
 
   Inventory Read(const json::value& document) {
-    Fields top(document, "$", errors_);
+    ObjectFields top(document, "$", errors_);
     top.Array("pools", true, kMaxPools,
               [&](const json::value& v, const std::string& path) {
                 ReadPool(v, path);
@@ -392,20 +400,21 @@
               [&](const json::value& v, const std::string& path) {
                 ReadTeam(v, path);
               });
-    if (const json::value* rules = top.Take("rules", false))
+    if (const json::value* rules = top.TakeField("rules", false))
       ReadRules(*rules, top.Path("rules"));
-    top.Finish();
+    top.ReportUnknownFields();
     if (top.ok())
       CheckBudgets();
     return std::move(inventory_);
   }
 
  private:
-  // True if `name` is new; otherwise adds an error that shows the first place.
-  bool Claim(std::map<std::string, std::string>& places,
-             const std::string& name,
-             const std::string& path,
-             const std::string& what) {
+  // Records that `name` occurs at `path` and returns true if it is new.
+  // Otherwise adds an error that shows where it occurred first.
+  bool AddUnique(std::map<std::string, std::string>& places,
+                 const std::string& name,
+                 const std::string& path,
+                 const std::string& what) {
     if (name.empty())
       return false;
     auto [it, added] = places.emplace(name, path);
@@ -417,64 +426,65 @@
   }
 
   void ReadPool(const json::value& value, const std::string& path) {
-    Fields f(value, path, errors_);
-    if (!f.ok())
+    ObjectFields fields(value, path, errors_);
+    if (!fields.ok())
       return;
     size_t errors_before = errors_.count();
     PoolState pool;
-    pool.id = PoolId(f.Name("id"));
-    pool.max_unavailable = f.Integer("max_unavailable", std::nullopt, 0, 10000);
-    pool.wave_limit =
-        f.Integer("wave_limit", std::min(pool.max_unavailable, 1u), 0, 10000);
-    pool.spare = f.Flag("spare");
-    pool.closed = f.Flag("closed");
+    pool.id = PoolId(fields.Name("id"));
+    pool.max_unavailable =
+        fields.Integer("max_unavailable", std::nullopt, 0, 10000);
+    pool.wave_limit = fields.Integer(
+        "wave_limit", std::min(pool.max_unavailable, 1u), 0, 10000);
+    pool.spare = fields.Flag("spare");
+    pool.closed = fields.Flag("closed");
     pool.default_deadline_ms =
-        f.Integer("default_deadline_ms", 2000, 1, 3'600'000);
-    pool.queue_limit = f.Integer("queue_limit", 1000, 1, 1'000'000);
-    f.Finish();
+        fields.Integer("default_deadline_ms", 2000, 1, 3'600'000);
+    pool.queue_limit = fields.Integer("queue_limit", 1000, 1, 1'000'000);
+    fields.ReportUnknownFields();
     bool valid = errors_.count() == errors_before;
     if (valid && pool.wave_limit > pool.max_unavailable) {
-      errors_.Add(f.Path("wave_limit"),
+      errors_.Add(fields.Path("wave_limit"),
                   std::to_string(pool.wave_limit) +
                       " is above max_unavailable, " +
                       std::to_string(pool.max_unavailable),
                   "a wave cannot take more than the budget; lower wave_limit "
                   "or raise max_unavailable");
     }
-    if (Claim(pool_places_, pool.id.str(), path + ".id", "pool"))
+    if (AddUnique(pool_places_, pool.id.str(), path + ".id", "pool"))
       inventory_.pools.emplace(pool.id, pool);
   }
 
   void ReadHost(const json::value& value, const std::string& path) {
-    Fields f(value, path, errors_);
-    if (!f.ok())
+    ObjectFields fields(value, path, errors_);
+    if (!fields.ok())
       return;
     InventoryHost host;
-    host.id = HostId(f.Name("id"));
-    host.zone = ZoneId(f.Name("zone"));
-    host.rack = RackId(f.Name("rack"));
-    host.pool = PoolId(f.Name("pool"));
-    host.address = f.Address("address");
-    host.cores = f.Integer("cores", std::nullopt, 1, 4096);
-    host.memory_gb = f.Integer("memory_gb", std::nullopt, 1, 65536);
-    host.accelerators = f.Integer("accelerators", 0, 0, 1024);
-    host.slots = f.Integer("slots", 8, 1, 1024);
-    host.connections = f.Integer("connections", 64, 1, 65535);
-    host.intent = f.Intent("intent");
-    f.Finish();
-    CheckHost(host, f);
-    if (Claim(host_places_, host.id.str(), path + ".id", "host"))
+    host.id = HostId(fields.Name("id"));
+    host.zone = ZoneId(fields.Name("zone"));
+    host.rack = RackId(fields.Name("rack"));
+    host.pool = PoolId(fields.Name("pool"));
+    host.address = fields.Address("address");
+    host.cores = fields.Integer("cores", std::nullopt, 1, 4096);
+    host.memory_gb = fields.Integer("memory_gb", std::nullopt, 1, 65536);
+    host.accelerators = fields.Integer("accelerators", 0, 0, 1024);
+    host.slots = fields.Integer("slots", 8, 1, 1024);
+    host.connections = fields.Integer("connections", 64, 1, 65535);
+    host.intent = fields.Intent("intent");
+    fields.ReportUnknownFields();
+    CheckHost(host, fields);
+    if (AddUnique(host_places_, host.id.str(), path + ".id", "host"))
       inventory_.hosts.emplace(host.id, host);
   }
 
-  void CheckHost(const InventoryHost& host, const Fields& f) {
-    Claim(address_places_, host.address, f.Path("address"), "address");
+  void CheckHost(const InventoryHost& host, const ObjectFields& fields) {
+    AddUnique(address_places_, host.address, fields.Path("address"), "address");
     if (!host.pool.empty() && !pool_places_.contains(host.pool.str())) {
-      errors_.Add(f.Path("pool"), "there is no pool " + host.pool.str(),
+      errors_.Add(fields.Path("pool"), "there is no pool " + host.pool.str(),
                   "add it to $.pools or correct the name");
     }
     if (host.connections < host.slots) {
-      errors_.Add(f.Path("connections"),
+      errors_.Add(fields.Path("connections"),
                   std::to_string(host.connections) + " is below slots, " +
                       std::to_string(host.slots),
                   "each slot needs a connection");
@@ -483,7 +493,7 @@
       return;
     auto [it, added] = rack_zones_.emplace(host.rack, host.zone);
     if (!added && it->second != host.zone) {
-      errors_.Add(f.Path("rack"),
+      errors_.Add(fields.Path("rack"),
                   "rack " + host.rack.str() + " is in zone " +
                       it->second.str() + " for an earlier host",
                   "a rack is in one zone; correct the zone or the rack");
@@ -491,28 +501,29 @@
   }
 
   void ReadTeam(const json::value& value, const std::string& path) {
-    Fields f(value, path, errors_);
-    if (!f.ok())
+    ObjectFields fields(value, path, errors_);
+    if (!fields.ok())
       return;
     TeamState team;
-    team.id = TeamId(f.Name("id"));
-    team.quota_cores = f.Integer("quota_cores", 0, 0, 100'000'000);
+    team.id = TeamId(fields.Name("id"));
+    team.quota_cores = fields.Integer("quota_cores", 0, 0, 100'000'000);
     team.quota_accelerators =
-        f.Integer("quota_accelerators", 0, 0, 100'000'000);
-    f.Finish();
-    if (Claim(team_places_, team.id.str(), path + ".id", "team"))
+        fields.Integer("quota_accelerators", 0, 0, 100'000'000);
+    fields.ReportUnknownFields();
+    if (AddUnique(team_places_, team.id.str(), path + ".id", "team"))
       inventory_.teams.emplace(team.id, team);
   }
 
   void ReadRules(const json::value& value, const std::string& path) {
-    Fields f(value, path, errors_);
-    inventory_.rules.maintenance = f.OptionalName("maintenance");
+    ObjectFields fields(value, path, errors_);
+    inventory_.rules.maintenance = fields.OptionalName("maintenance");
     inventory_.rules.max_racks_in_maintenance =
-        f.Integer("max_racks_in_maintenance", 1, 1, 10000);
-    f.Finish();
+        fields.Integer("max_racks_in_maintenance", 1, 1, 10000);
+    fields.ReportUnknownFields();
   }
 
-  // A budget as large as the pool would allow it to have no host at all.
+  // Adds an error for each pool whose budget allows all of its hosts to be
+  // unavailable at once.
   void CheckBudgets() {
     std::map<PoolId, uint32_t> sizes;
     for (const auto& [id, host] : inventory_.hosts) {
@@ -535,9 +546,9 @@
     }
   }
 
-  Errors& errors_;
+  ErrorList& errors_;
   Inventory inventory_;
-  // Where each name was first given.
+  // Path at which each name first occurs.
   std::map<std::string, std::string> pool_places_;
   std::map<std::string, std::string> host_places_;
   std::map<std::string, std::string> team_places_;
@@ -588,23 +599,23 @@
 
 InventoryResult ParseInventory(std::string_view text) {
   InventoryResult result;
-  Errors errors;
+  ErrorList errors;
   if (text.size() > kMaxInventoryBytes) {
     errors.Add(
         "$", std::to_string(text.size()) + " bytes are too many",
         "at most " + std::to_string(kMaxInventoryBytes) + " are supported");
-    result.errors = errors.Take();
+    result.errors = errors.TakeErrors();
     return result;
   }
   if (auto syntax = CheckSyntax(text, errors)) {
     result.errors.push_back(*syntax);
     return result;
   }
-  Inventory inventory = Reader(errors).Read(json::parse(text));
+  Inventory inventory = InventoryReader(errors).Read(json::parse(text));
   if (errors.count() == 0) {
     result.inventory = std::move(inventory);
   } else {
-    result.errors = errors.Take();
+    result.errors = errors.TakeErrors();
   }
   return result;
 }
--- a/radishmoor/config/inventory.h
+++ b/radishmoor/config/inventory.h
@@ -1,13 +1,14 @@
-// The operator's file: hosts, pools, teams and rules of a site, in JSON.
-// docs/configuration.md describes the format.
+// The inventory: the operator's JSON file with the hosts, pools, teams and
+// rules of a site. docs/configuration.md describes the format.
 //
 //   InventoryResult result = ParseInventory(text);
 //   for (const InventoryError& error : result.errors)
 //     std::cerr << error.str("site.json") << '\n';
 //   if (result.inventory) ...
 //
-// All errors are found in one pass, except that a text that is not JSON has
-// only the error of its syntax. An inventory that is returned has no error.
+// Parsing reports all errors of a text at once, except that a text that is not
+// JSON has only its syntax error. An inventory is returned only if there are no
+// errors.
 
 #ifndef RADISHMOOR_CONFIG_INVENTORY_H_
 #define RADISHMOOR_CONFIG_INVENTORY_H_
@@ -24,8 +25,8 @@
 
 namespace radishmoor {
 
-// What the operator says about a host. The fields have the meaning and the
-// defaults of HostState; `pool` is its wanted pool.
+// A host in the inventory. The fields have the meaning and the defaults of
+// HostState, but `pool` is HostState::wanted_pool.
 struct InventoryHost {
   HostId id;
   ZoneId zone;
@@ -52,13 +53,13 @@
 };
 
 struct InventoryError {
-  std::string path;  // "$.hosts[3].pool"; empty for an error of the syntax.
-  size_t line = 0;   // From 1, for an error of the syntax.
-  size_t column = 0;
+  std::string path;   // "$.hosts[3].pool"; empty for a syntax error.
+  size_t line = 0;    // Of a syntax error, counted from 1; otherwise 0.
+  size_t column = 0;  // Of a syntax error, counted from 1; otherwise 0.
   std::string problem;
   std::string remedy;
 
-  // One line: "FILE:LINE:COLUMN: problem; remedy" or
+  // Returns one line: "FILE:LINE:COLUMN: problem; remedy" or
   // "FILE: PATH: problem; remedy".
   std::string str(std::string_view file) const;
 };
@@ -68,25 +69,27 @@
   std::vector<InventoryError> errors;
 };
 
-// Hard limits. The numbers of hosts, pools and teams are several times those
-// of the largest site (1,100, 118 and 53).
+// Larger inventories are rejected. The limits of hosts, pools and teams are
+// several times the numbers of the largest site (1,100, 118 and 53).
 inline constexpr size_t kMaxInventoryBytes = size_t{16} << 20;
 inline constexpr size_t kMaxHosts = 10'000;
 inline constexpr size_t kMaxPools = 1'000;
 inline constexpr size_t kMaxTeams = 1'000;
-// Further errors are counted but not listed.
+// Errors beyond this number are counted but not listed.
 inline constexpr size_t kMaxListedErrors = 200;
 
-// Never throws on any text. Cost: O(text * log objects).
+// Parses and checks the JSON text of an inventory. Reports every fault of the
+// text as an InventoryError, never as an exception.
+// Cost: O(text * log objects).
 InventoryResult ParseInventory(std::string_view text);
 
-// The part of the accepted configuration that the operator owns.
+// Returns the part of the accepted configuration that the operator controls.
 Inventory InventoryOf(const FleetState& state);
 
-// JSON text that ParseInventory() reads back to the same value.
+// Returns JSON text that ParseInventory() parses to the same inventory.
 std::string EncodeInventory(const Inventory& inventory);
 
-// "serve", "drain" or "retire".
+// Returns "serve", "drain" or "retire".
 std::string_view IntentName(HostIntent intent);
 
 }  // namespace radishmoor
--- a/radishmoor/config/plan.cc
+++ b/radishmoor/config/plan.cc
@@ -12,9 +12,10 @@
 
 namespace json = boost::json;
 
+// How often ApplyPlan() makes the plan again after a conflict with control.
 constexpr int kMaxRebases = 5;
-// Waves that PlanText() lists.
-constexpr size_t kMaxShownWaves = 10;
+// Maximum number of waves that PlanText() lists.
+constexpr size_t kMaxListedWaves = 10;
 
 using FieldList = std::vector<std::pair<std::string, std::string>>;
 
@@ -73,10 +74,10 @@
 }
 
 template <typename T>
-ObjectChange Changed(const char* object,
-                     const std::string& id,
-                     const T& before,
-                     const T& after) {
+ObjectChange ChangedObject(const char* object,
+                           const std::string& id,
+                           const T& before,
+                           const T& after) {
   ObjectChange change{ChangeKind::kChanged, object, id, {}};
   FieldList old_fields = FieldsOf(before);
   FieldList new_fields = FieldsOf(after);
@@ -106,7 +107,7 @@
     auto it = before.find(id);
     if (it != before.end()) {
       if (!(it->second == value))
-        changes.push_back(Changed(object, id.str(), it->second, value));
+        changes.push_back(ChangedObject(object, id.str(), it->second, value));
       continue;
     }
     ObjectChange change{ChangeKind::kAdded, object, id.str(), {}};
@@ -131,8 +132,8 @@
   return host;
 }
 
-// A host that no process knows yet. One that should not serve starts in the
-// phase that its drain would end in.
+// Returns the state of a host that no process knows yet. A host that should not
+// serve starts in the phase in which its drain or retirement would end.
 HostState NewHost(const InventoryHost& wanted, ConfigVersion version) {
   HostState host = WithSpecification({}, wanted);
   host.pool = wanted.pool;
@@ -176,7 +177,7 @@
   }
 }
 
-// The pools that hosts are in or should be in after the delta.
+// Returns the current and the wanted pools of all hosts after the delta.
 std::set<PoolId> PoolsInUse(const FleetState& state, const ConfigDelta& delta) {
   FleetState after = state;
   after.Apply(delta);
@@ -188,7 +189,8 @@
   return pools;
 }
 
-// Runs after PlanHosts(): a pool stays as long as hosts refer to it.
+// Must run after PlanHosts(): a pool is removed only if no host of the planned
+// state refers to it.
 void PlanPools(const FleetState& state,
                const Inventory& inventory,
                ConfigPlan& plan) {
@@ -229,8 +231,8 @@
   }
 }
 
-// One backend server must not be known under two hosts: it would serve two
-// pools.
+// Adds a refusal for each address of two hosts. One backend server must not be
+// known as two hosts, since it could then serve two pools.
 void CheckAddresses(const FleetState& after, ConfigPlan& plan) {
   std::map<std::string, HostId> users;
   for (const auto& [id, host] : after.hosts) {
@@ -244,9 +246,9 @@
   }
 }
 
-void WarnOfPlacement(const FleetState& before,
-                     const FleetState& after,
-                     ConfigPlan& plan) {
+void WarnAboutPlacement(const FleetState& before,
+                        const FleetState& after,
+                        ConfigPlan& plan) {
   for (const auto& [id, host] : after.hosts) {
     const HostState* old = before.FindHost(id);
     if (old == nullptr || old->phase != HostPhase::kActive)
@@ -261,20 +263,21 @@
   }
 }
 
-// The hosts of one pool, as control counts them.
-struct PoolCount {
-  uint32_t unavailable = 0;  // Not active now.
-  uint32_t leaving = 0;      // Active, to be drained, moved or retired.
-  uint32_t staying = 0;      // Active, without a change.
-  uint32_t held = 0;         // Should stay out of service: intent kDrain.
+// Numbers of hosts of one pool, counted as control counts them against the
+// pool's budget.
+struct PoolHostCounts {
+  uint32_t unavailable = 0;     // Not active.
+  uint32_t leaving = 0;         // Active, but to be drained, moved or retired.
+  uint32_t staying = 0;         // Active and to stay so.
+  uint32_t drain_intended = 0;  // Have the intent kDrain.
 };
 
-std::map<PoolId, PoolCount> CountPools(const FleetState& state) {
-  std::map<PoolId, PoolCount> counts;
+std::map<PoolId, PoolHostCounts> CountPoolHosts(const FleetState& state) {
+  std::map<PoolId, PoolHostCounts> counts;
   for (const auto& [id, host] : state.hosts) {
     if (host.phase == HostPhase::kRetired)
       continue;
-    PoolCount& count = counts[host.pool];
+    PoolHostCounts& count = counts[host.pool];
     bool leaves =
         host.intent != HostIntent::kServe || host.wanted_pool != host.pool;
     if (host.phase != HostPhase::kActive) {
@@ -283,14 +286,14 @@
       ++(leaves ? count.leaving : count.staying);
     }
     if (host.intent == HostIntent::kDrain)
-      ++count.held;
+      ++count.drain_intended;
   }
   return counts;
 }
 
-void WarnOfBudget(const PoolState& pool,
-                  const PoolCount& count,
-                  ConfigPlan& plan) {
+void WarnAboutBudget(const PoolState& pool,
+                     const PoolHostCounts& count,
+                     ConfigPlan& plan) {
   std::string name = "pool " + pool.id.str() + ": ";
   std::string budget = "the budget is " + std::to_string(pool.max_unavailable);
   if (count.unavailable > pool.max_unavailable) {
@@ -298,11 +301,12 @@
                             " hosts are unavailable already and " + budget +
                             "; control starts nothing until hosts return");
   }
-  if (count.held > pool.max_unavailable) {
+  if (count.drain_intended > pool.max_unavailable) {
     plan.warnings.push_back(
-        name + std::to_string(count.held) + " hosts should be drained and " +
-        budget + "; control leaves " +
-        std::to_string(count.held - pool.max_unavailable) + " in service");
+        name + std::to_string(count.drain_intended) +
+        " hosts should be drained and " + budget + "; control leaves " +
+        std::to_string(count.drain_intended - pool.max_unavailable) +
+        " in service");
   }
   if (count.leaving > 0 && pool.max_unavailable == 0) {
     plan.warnings.push_back(name + std::to_string(count.leaving) +
@@ -322,8 +326,8 @@
   }
 }
 
-// Predicts the waves of a maintenance round: a canary, then rack by rack
-// within the limits of the racks and of each pool.
+// Predicts the waves of a maintenance round: first a single canary host, then
+// hosts rack by rack within the limits on racks and on hosts of each pool.
 class WavePlanner {
  public:
   explicit WavePlanner(const FleetState& state) : state_(state) {
@@ -340,7 +344,7 @@
   }
 
   void Run(ConfigPlan& plan) {
-    DropUnmaintainable(plan);
+    DropHostsWithoutBudget(plan);
     uint32_t max_racks = state_.rules.max_racks_in_maintenance;
     while (!pending_.empty()) {
       bool canary = plan.waves.empty();
@@ -350,16 +354,16 @@
   }
 
  private:
-  uint32_t Limit(const HostState& host) const {
+  uint32_t MaxHostsPerWave(const HostState& host) const {
     const PoolState* pool = state_.FindPool(host.wanted_pool);
     return pool == nullptr ? 0
                            : std::min(pool->wave_limit, pool->max_unavailable);
   }
 
-  void DropUnmaintainable(ConfigPlan& plan) {
+  void DropHostsWithoutBudget(ConfigPlan& plan) {
     std::set<PoolId> dropped;
     std::erase_if(pending_, [&](const HostState* host) {
-      if (Limit(*host) > 0)
+      if (MaxHostsPerWave(*host) > 0)
         return false;
       dropped.insert(host->wanted_pool);
       return true;
@@ -373,15 +377,15 @@
 
   std::vector<HostId> NextWave(uint32_t max_racks, size_t max_hosts) {
     std::set<RackId> racks;
-    std::map<PoolId, uint32_t> taken;
+    std::map<PoolId, uint32_t> hosts_by_pool;
     std::vector<HostId> wave;
     std::erase_if(pending_, [&](const HostState* host) {
       bool rack_fits = racks.contains(host->rack) || racks.size() < max_racks;
       if (wave.size() >= max_hosts || !rack_fits ||
-          taken[host->wanted_pool] >= Limit(*host))
+          hosts_by_pool[host->wanted_pool] >= MaxHostsPerWave(*host))
         return false;
       racks.insert(host->rack);
-      ++taken[host->wanted_pool];
+      ++hosts_by_pool[host->wanted_pool];
       wave.push_back(host->id);
       return true;
     });
@@ -392,32 +396,34 @@
   std::vector<const HostState*> pending_;
 };
 
-// Fills what follows from the delta: changes, moves, waves and warnings.
-void Predict(const FleetState& before, ConfigPlan& plan) {
+// Derives the plan's changes, moves, waves, warnings and refusals from its
+// delta.
+void PredictEffects(const FleetState& before, ConfigPlan& plan) {
   FleetState after = before;
   after.Apply(plan.delta);
   plan.changes = DiffStates(before, after);
   CheckAddresses(after, plan);
-  WarnOfPlacement(before, after, plan);
+  WarnAboutPlacement(before, after, plan);
   for (const HostState& host : plan.delta.hosts) {
     const HostState* old = before.FindHost(host.id);
     if (old != nullptr && host.intent == HostIntent::kServe &&
         old->wanted_pool != host.wanted_pool && host.pool != host.wanted_pool)
       plan.moves.push_back({host.id, host.pool, host.wanted_pool});
   }
-  auto counts = CountPools(after);
+  auto counts = CountPoolHosts(after);
   for (const auto& [id, pool] : after.pools)
-    WarnOfBudget(pool, counts[id], plan);
+    WarnAboutBudget(pool, counts[id], plan);
   const std::string& round = after.rules.maintenance;
   if (!round.empty() && round != before.rules.maintenance)
     WavePlanner(after).Run(plan);
 }
 
-// ParseInventory() refuses a budget as large as its pool. The retirement of
-// single hosts must not lead there either.
-void CheckRemaining(const FleetState& after,
-                    const PoolId& pool_id,
-                    ConfigPlan& plan) {
+// Adds a refusal if the pool would have no more hosts than its budget allows to
+// be unavailable. ParseInventory() rejects such an inventory, but retiring
+// hosts one by one could lead to the same state.
+void CheckRemainingHosts(const FleetState& after,
+                         const PoolId& pool_id,
+                         ConfigPlan& plan) {
   const PoolState* pool = after.FindPool(pool_id);
   if (pool == nullptr || pool->closed)
     return;
@@ -434,9 +440,9 @@
                           "; lower max_unavailable or close the pool first");
 }
 
-ConfigPlan StartPlan(const FleetState& state) {
+ConfigPlan NewPlan(const FleetState& state) {
   ConfigPlan plan;
-  plan.base = state.version;
+  plan.base_version = state.version;
   plan.delta.version = state.version + 1;
   return plan;
 }
@@ -473,7 +479,7 @@
   return result;
 }
 
-json::array Texts(const std::vector<std::string>& texts) {
+json::array StringsToJson(const std::vector<std::string>& texts) {
   json::array result;
   for (const std::string& text : texts)
     result.push_back(json::value(text));
@@ -492,12 +498,12 @@
     return "";
   std::string text =
       "Maintenance in about " + std::to_string(plan.waves.size()) + " waves:\n";
-  for (size_t i = 0; i < std::min(plan.waves.size(), kMaxShownWaves); ++i) {
+  for (size_t i = 0; i < std::min(plan.waves.size(), kMaxListedWaves); ++i) {
     text += "  " + std::to_string(i + 1) + (i == 0 ? " (canary)" : "") + ": " +
             JoinIds(plan.waves[i]) + "\n";
   }
-  if (plan.waves.size() > kMaxShownWaves) {
-    text += "  and " + std::to_string(plan.waves.size() - kMaxShownWaves) +
+  if (plan.waves.size() > kMaxListedWaves) {
+    text += "  and " + std::to_string(plan.waves.size() - kMaxListedWaves) +
             " more\n";
   }
   return text;
@@ -512,12 +518,12 @@
   return text;
 }
 
-// One run of ApplyPlan().
-class Applier {
+// Carries out one call of ApplyPlan().
+class PlanApplier {
  public:
-  Applier(const StoreExecutor& execute,
-          const Planner& planner,
-          const ApplyOptions& options)
+  PlanApplier(const StoreExecutor& execute,
+              const Planner& planner,
+              const ApplyOptions& options)
       : execute_(execute), planner_(planner), options_(options) {}
 
   ApplyOutcome Run() {
@@ -528,11 +534,11 @@
         return std::move(outcome_);
       }
       for (int attempt = 0; attempt <= kMaxRebases; ++attempt) {
-        if (Attempt())
+        if (TryApply())
           return std::move(outcome_);
       }
       outcome_.result = ApplyResult::kConflict;
-      outcome_.reason = "control changes the configuration at this moment";
+      outcome_.reason = "control processes kept changing the configuration";
     } catch (const ConfigUnavailableError& error) {
       outcome_.result = ApplyResult::kUnavailable;
       outcome_.reason = error.what();
@@ -541,18 +547,19 @@
   }
 
  private:
-  // True if the outcome is final.
-  bool Attempt() {
-    LoadedConfig loaded =
-        LoadConfig(execute_, base_ ? std::nullopt : options_.expected);
+  // Returns true if the outcome is final, false if a conflict needs a new try.
+  bool TryApply() {
+    LoadedConfig loaded = LoadConfig(
+        execute_, base_state_ ? std::nullopt : options_.expected_version);
     outcome_.version = loaded.state.version;
-    if (!base_) {
-      base_ = options_.expected ? loaded.kept : loaded.state;
-      if (!base_)
+    if (!base_state_) {
+      base_state_ =
+          options_.expected_version ? loaded.kept_state : loaded.state;
+      if (!base_state_)
         return Finish(ApplyResult::kConflict);
     }
-    if (InventoryOf(*base_) != InventoryOf(loaded.state)) {
-      outcome_.difference = DiffStates(*base_, loaded.state);
+    if (InventoryOf(*base_state_) != InventoryOf(loaded.state)) {
+      outcome_.difference = DiffStates(*base_state_, loaded.state);
       return Finish(ApplyResult::kConflict);
     }
     outcome_.plan = planner_(loaded.state);
@@ -592,8 +599,8 @@
   const StoreExecutor& execute_;
   const Planner& planner_;
   const ApplyOptions& options_;
-  // What the operator planned against.
-  std::optional<FleetState> base_;
+  // The state that the operator planned against.
+  std::optional<FleetState> base_state_;
   ApplyOutcome outcome_;
 };
 
@@ -606,7 +613,7 @@
   DiffMaps("host", before.hosts, after.hosts, changes);
   DiffMaps("team", before.teams, after.teams, changes);
   if (!(before.rules == after.rules))
-    changes.push_back(Changed("rules", "", before.rules, after.rules));
+    changes.push_back(ChangedObject("rules", "", before.rules, after.rules));
   return changes;
 }
 
@@ -631,7 +638,7 @@
 }
 
 ConfigPlan PlanInventory(const FleetState& state, const Inventory& inventory) {
-  ConfigPlan plan = StartPlan(state);
+  ConfigPlan plan = NewPlan(state);
   PlanHosts(state, inventory, plan);
   PlanPools(state, inventory, plan);
   PlanTeams(state, inventory, plan);
@@ -639,14 +646,14 @@
     plan.delta.rules_changed = true;
     plan.delta.rules = inventory.rules;
   }
-  Predict(state, plan);
+  PredictEffects(state, plan);
   return plan;
 }
 
-ConfigPlan PlanIntent(const FleetState& state,
-                      const HostId& id,
-                      HostIntent intent) {
-  ConfigPlan plan = StartPlan(state);
+ConfigPlan PlanHostIntent(const FleetState& state,
+                          const HostId& id,
+                          HostIntent intent) {
+  ConfigPlan plan = NewPlan(state);
   const HostState* host = state.FindHost(id);
   if (host == nullptr) {
     plan.refusals.push_back("there is no host " + id.str() +
@@ -661,18 +668,18 @@
     plan.delta.hosts.push_back(*host);
     plan.delta.hosts.back().intent = intent;
   }
-  Predict(state, plan);
+  PredictEffects(state, plan);
   if (intent == HostIntent::kRetire && !plan.empty()) {
     FleetState after = state;
     after.Apply(plan.delta);
-    CheckRemaining(after, host->wanted_pool, plan);
+    CheckRemainingHosts(after, host->wanted_pool, plan);
   }
   return plan;
 }
 
 std::string PlanText(const ConfigPlan& plan) {
   std::string text =
-      "Plan against version " + std::to_string(plan.base) + ":\n";
+      "Plan against version " + std::to_string(plan.base_version) + ":\n";
   text += plan.empty() ? "  no change\n" : DiffText(plan.changes);
   std::vector<std::string> moves;
   for (const PlannedMove& move : plan.moves) {
@@ -700,18 +707,19 @@
       hosts.push_back(json::value(host.str()));
     waves.push_back(std::move(hosts));
   }
-  return json::serialize(json::object{{"base", plan.base},
-                                      {"changes", ChangesJson(plan.changes)},
-                                      {"moves", moves},
-                                      {"waves", waves},
-                                      {"warnings", Texts(plan.warnings)},
-                                      {"refusals", Texts(plan.refusals)}});
+  return json::serialize(
+      json::object{{"base", plan.base_version},
+                   {"changes", ChangesJson(plan.changes)},
+                   {"moves", moves},
+                   {"waves", waves},
+                   {"warnings", StringsToJson(plan.warnings)},
+                   {"refusals", StringsToJson(plan.refusals)}});
 }
 
 ApplyOutcome ApplyPlan(const StoreExecutor& execute,
                        const Planner& planner,
                        const ApplyOptions& options) {
-  return Applier(execute, planner, options).Run();
+  return PlanApplier(execute, planner, options).Run();
 }
 
 }  // namespace radishmoor
--- a/radishmoor/config/plan.h
+++ b/radishmoor/config/plan.h
@@ -1,19 +1,20 @@
-// What an inventory would change in the accepted configuration, and applying
-// it.
+// Plans: what an inventory or a new host intent would change in the accepted
+// configuration. ApplyPlan() commits a plan.
 //
 //   ConfigPlan plan = PlanInventory(state, inventory);
 //   std::cout << PlanText(plan);
 //   if (plan.refusals.empty() && !plan.empty())
 //     commit plan.delta (with an operation id and an author) on state.version
 //
-// A plan changes only what the operator owns: specifications, wanted pools,
-// intents, pools, teams and rules. Pool, epoch and phase of a known host belong
-// to control and stay as they are. Consequences:
-//   - A host that the inventory lacks gets the intent kRetire and is removed
-//     by a later plan, once control has retired it.
-//   - A pool that the inventory lacks is closed, and removed by a later plan,
-//     once it has no hosts.
-//   - A new host joins its pool at once: no process can know it under another.
+// A plan changes only what the operator controls: host specifications, wanted
+// pools, intents, pools, teams and rules. Only control processes change the
+// pool, the epoch and the phase of a known host. Consequences:
+//   - A host that is missing in the inventory gets the intent kRetire. A later
+//     plan removes it after control has retired it.
+//   - A pool that is missing in the inventory is closed. A later plan removes
+//     it after its hosts have left.
+//   - A new host joins its pool at once, because no process can know it as a
+//     host of another pool.
 
 #ifndef RADISHMOOR_CONFIG_PLAN_H_
 #define RADISHMOOR_CONFIG_PLAN_H_
@@ -47,14 +48,15 @@
   std::vector<FieldChange> fields;
 };
 
-// All differences, control's fields included. Cost: O(objects).
+// Returns all differences, including the fields that only control changes.
+// Cost: O(objects).
 std::vector<ObjectChange> DiffStates(const FleetState& before,
                                      const FleetState& after);
 
-// One line for each change.
+// Returns text with one line for each change.
 std::string DiffText(const std::vector<ObjectChange>& changes);
-// JSON array of objects with "kind", "object", "id" and "fields", which holds
-// [before, after] for each field.
+// Returns a JSON array with one object for each change. Its keys are "kind",
+// "object", "id" and "fields"; "fields" holds [before, after] for each field.
 std::string DiffJson(const std::vector<ObjectChange>& changes);
 
 struct PlannedMove {
@@ -64,42 +66,46 @@
 };
 
 struct ConfigPlan {
-  ConfigVersion base = 0;  // The version that `delta` follows.
+  ConfigVersion base_version = 0;  // The version that `delta` follows.
   std::vector<ObjectChange> changes;
   std::vector<PlannedMove> moves;
-  // Maintenance that the change starts: the hosts of each predicted wave. The
-  // first one is the canary.
+  // Hosts of each predicted wave of the maintenance round that the change
+  // starts. The first wave holds only the canary.
   std::vector<std::vector<HostId>> waves;
-  // What control will hold back to keep a budget, and other risks.
+  // Changes that control will delay to keep an availability budget, and other
+  // risks.
   std::vector<std::string> warnings;
-  // Why the plan cannot be applied now.
+  // Reasons why the plan cannot be applied now.
   std::vector<std::string> refusals;
-  ConfigDelta delta;  // Operation and author are empty.
+  ConfigDelta delta;  // Without operation and author.
 
   bool empty() const { return changes.empty(); }
 };
 
+// Returns the plan that changes the operator's part of `state` to `inventory`.
 // Cost: O(hosts * waves).
 ConfigPlan PlanInventory(const FleetState& state, const Inventory& inventory);
 
-// A plan that only changes the intent of one host. Refused if there is no such
-// host, if it has retired, and if its retirement would leave its pool with no
-// more hosts than the pool may lose.
-ConfigPlan PlanIntent(const FleetState& state,
-                      const HostId& host,
-                      HostIntent intent);
+// Returns a plan that only changes the intent of one host. The plan has a
+// refusal if there is no such host, if the host has retired, or if its
+// retirement would leave its pool with no more hosts than
+// PoolState::max_unavailable.
+ConfigPlan PlanHostIntent(const FleetState& state,
+                          const HostId& host,
+                          HostIntent intent);
 
 std::string PlanText(const ConfigPlan& plan);
 std::string PlanJson(const ConfigPlan& plan);
 
-// Makes the plan for a state. Called again if the state has changed.
+// Makes the plan for a state. ApplyPlan() calls it again if the state has
+// changed before the commit.
 using Planner = std::function<ConfigPlan(const FleetState& state)>;
 
 enum class ApplyResult : uint8_t {
   kApplied,
   kNothingToDo,
   kRefused,      // The plan has refusals.
-  kConflict,     // Another operator's change came first.
+  kConflict,     // Another change was committed first; see ApplyPlan().
   kUnavailable,  // The store was not reached; nothing was changed.
   kUnknown,      // The change may have taken effect.
 };
@@ -107,26 +113,33 @@
 struct ApplyOptions {
   OperationId operation;
   std::string author;
-  // The operator planned against this version; a later change by an operator
-  // is then a conflict. Without it the plan is made against the latest one.
-  std::optional<ConfigVersion> expected;
+  // The version that the operator planned against; a change by an operator
+  // since then is a conflict. If absent, the plan is made against the latest
+  // version.
+  std::optional<ConfigVersion> expected_version;
 };
 
 struct ApplyOutcome {
   ApplyResult result = ApplyResult::kUnknown;
-  ConfigVersion version = 0;  // In force after kApplied, else the latest known.
+  // The committed version after kApplied, otherwise the latest known one.
+  ConfigVersion version = 0;
   ConfigPlan plan;
-  // Of kConflict: what changed since the version that was planned against.
-  // Without it that version is older than the latest snapshot.
+  // For kConflict: what changed since the version that was planned against.
+  // Absent if that version is older than the latest snapshot or does not exist,
+  // or if ApplyPlan() gave up because of changes by control; `reason` then says
+  // so.
   std::optional<std::vector<ObjectChange>> difference;
-  std::string reason;  // Of kUnavailable and kUnknown.
-  bool snapshot_failed = false;
+  std::string reason;  // Set for kUnavailable and kUnknown, and see above.
+  bool snapshot_failed = false;  // A snapshot was due and was not written.
 };
 
-// Applies a plan once, however often it is called with the same operation id.
-// Changes by control that leave the operator's part alone do not conflict: the
-// plan is made again on top of them, up to five times. Throws ConfigFormatError
-// if the log is damaged.
+// Commits the plan of `planner`. Repeated calls with the same operation id
+// commit it once, as long as the commit is within kOperationWindow versions.
+//
+// A change by another operator is a conflict. A change by control that leaves
+// the operator's part unchanged is not: the plan is made again on top of it, up
+// to five times; then the result is kConflict. Throws ConfigFormatError if the
+// log is damaged.
 ApplyOutcome ApplyPlan(const StoreExecutor& execute,
                        const Planner& planner,
                        const ApplyOptions& options);
--- a/radishmoor/config/testing/config_view_test.cc
+++ b/radishmoor/config/testing/config_view_test.cc
@@ -12,32 +12,34 @@
 namespace radishmoor {
 namespace {
 
-// Views in two zones over one table. An author commits deltas that drain hosts;
-// a host counts as safe to change when 6.3 (c) allows it.
-class World {
+// Processes of two zones, each with a ConfigView, and one table in virtual
+// time. The test commits deltas that drain hosts and return them to service.
+// ControlMayChange() tells when control may change a draining host.
+class ConfigSite {
  public:
-  struct Node {
-    SimProcess process;
+  struct Process {
+    SimProcess sim_process;
     MemberId id;
     ZoneId zone;
     std::unique_ptr<ConfigView> view;
-    bool store_cut = false;  // Cannot reach the store.
-    std::set<size_t> peers_cut;
-    bool registered = false;        // The member row exists in the table.
-    ConfigVersion row_version = 0;  // Acknowledged in the member row.
-    ConfigVersion last = 0;
+    bool store_cut = false;      // Cannot reach the store.
+    std::set<size_t> peers_cut;  // Exchanges no messages with these.
+    bool registered = false;     // The member row exists.
+    ConfigVersion acknowledged_version = 0;  // In the member row.
+    ConfigVersion last_in_force = 0;
     uint64_t incarnation = 0;
-    uint64_t messages = 0;  // Sent to peers.
+    uint64_t messages = 0;  // Number of messages sent to peers.
   };
 
-  World(uint64_t seed, size_t count) : sim(seed), store(&sim) {
+  ConfigSite(uint64_t seed, size_t count)
+      : simulation(seed), store(&simulation) {
     for (size_t i = 0; i < 4; ++i)
       CommitHost(i, HostPhase::kActive);
     for (size_t i = 0; i < count; ++i) {
-      auto node = std::make_unique<Node>();
-      node->id = MemberId("m" + std::to_string(i));
-      node->zone = Zone(i);
-      nodes.push_back(std::move(node));
+      auto process = std::make_unique<Process>();
+      process->id = MemberId("m" + std::to_string(i));
+      process->zone = Zone(i);
+      processes.push_back(std::move(process));
     }
     for (size_t i = 0; i < count; ++i)
       Start(i);
@@ -48,239 +50,256 @@
 
   void CommitHost(size_t host, HostPhase phase) {
     ConfigDelta delta;
-    delta.version = ++head;
+    delta.version = ++head_version;
     HostState state;
     state.id = Host(host);
     state.zone = Zone(host);
     state.phase = phase;
     delta.hosts.push_back(state);
-    truth.Apply(delta);
-    ConfigVersion snapshot = head - head % kSnapshotInterval;
-    if (snapshot == head)
-      store.table.Handle(
-          PutObject{ConfigSnapshotKey(head), EncodeState(truth)});
+    committed_state.Apply(delta);
+    ConfigVersion snapshot = head_version - head_version % kSnapshotInterval;
+    if (snapshot == head_version)
+      store.table.Handle(PutObject{ConfigSnapshotKey(head_version),
+                                   EncodeState(committed_state)});
     Transaction t;
-    t.writes.push_back({ConfigDeltaKey(head), EncodeDelta(delta)});
-    t.writes.push_back({kConfigHeadKey, EncodeHead({head, snapshot})});
+    t.writes.push_back({ConfigDeltaKey(head_version), EncodeDelta(delta)});
+    t.writes.push_back({kConfigHeadKey, EncodeHead({head_version, snapshot})});
     store.table.Handle(CommitRows{t});
     bool active = phase == HostPhase::kActive;
-    committed_at[host] = sim.now;
-    drain_version[host] = active ? 0 : head;
+    committed_at[host] = simulation.now;
+    drain_version[host] = active ? 0 : head_version;
   }
 
-  // What control may conclude from the member rows and its own clock.
-  bool MayChange(size_t host) const {
+  // Returns true if control may conclude from the member rows and its own clock
+  // that no process may send to the draining host.
+  bool ControlMayChange(size_t host) const {
     if (drain_version[host] == 0)
       return false;
-    for (const auto& node : nodes) {
-      if (!node->registered || node->row_version >= drain_version[host])
+    for (const auto& process : processes) {
+      if (!process->registered ||
+          process->acknowledged_version >= drain_version[host])
         continue;
-      bool waited = sim.now - committed_at[host] >= Seconds(6);
-      if (node->zone == Zone(host) || !waited)
+      bool waited = simulation.now - committed_at[host] >= Seconds(6);
+      if (process->zone == Zone(host) || !waited)
         return false;
     }
     return true;
   }
 
   void Start(size_t n) {
-    Node& node = *nodes[n];
-    Simulation::Kill(&node.process);
-    node.view = std::make_unique<ConfigView>(
-        ConfigViewOptions{.self = node.id,
-                          .zone = node.zone,
-                          .incarnation = {++node.incarnation},
-                          .seed = sim.random.Next()});
+    Process& process = *processes[n];
+    Simulation::Kill(&process.sim_process);
+    process.view = std::make_unique<ConfigView>(
+        ConfigViewOptions{.self = process.id,
+                          .zone = process.zone,
+                          .incarnation = {++process.incarnation},
+                          .seed = simulation.random.Next()});
     std::vector<ConfigPeer> peers;
-    for (const auto& peer : nodes)
+    for (const auto& peer : processes)
       peers.push_back({peer->id, peer->zone});
-    node.view->SetPeers(std::move(peers));
-    node.last = 0;
-    Do(n, node.view->Tick(sim.now));
-    WriteRow(n);
+    process.view->SetPeers(std::move(peers));
+    process.last_in_force = 0;
+    Perform(n, process.view->Tick(simulation.now));
+    ScheduleRowWrite(n);
   }
 
-  // Stands for the member row: read-modify-write over the store each second.
-  void WriteRow(size_t n) {
-    Node& node = *nodes[n];
-    sim.Post(&node.process, sim.random.Between(Milliseconds(10), Seconds(1)),
-             [this, n] {
-               Node& node = *nodes[n];
-               ConfigVersion version = node.view->AcknowledgedVersion(sim.now);
-               if (!node.store_cut && !store.faults.down) {
-                 // The first write of a start replaces the row of the last.
-                 bool first = !node.view->registered();
-                 node.row_version =
-                     first ? version : std::max(node.row_version, version);
-                 node.registered = true;
-                 node.view->SetRegistered(true);
-               }
-               WriteRow(n);
-             });
+  // Schedules the write of the process's member row, which repeats at least
+  // once a second. The row itself is simulated by fields of Process.
+  void ScheduleRowWrite(size_t n) {
+    Process& process = *processes[n];
+    simulation.Post(
+        &process.sim_process,
+        simulation.random.Between(Milliseconds(10), Seconds(1)), [this, n] {
+          Process& process = *processes[n];
+          ConfigVersion version =
+              process.view->AcknowledgedVersion(simulation.now);
+          if (!process.store_cut && !store.faults.down) {
+            // The first write of an incarnation replaces the row of the
+            // earlier one.
+            bool first = !process.view->registered();
+            process.acknowledged_version =
+                first ? version
+                      : std::max(process.acknowledged_version, version);
+            process.registered = true;
+            process.view->SetRegistered(true);
+          }
+          ScheduleRowWrite(n);
+        });
   }
 
-  void Do(size_t n, const std::vector<ConfigAction>& actions) {
-    Node& node = *nodes[n];
+  void Perform(size_t n, const std::vector<ConfigAction>& actions) {
+    Process& process = *processes[n];
     for (const ConfigAction& action : actions) {
       if (auto* call = std::get_if<StoreCall>(&action)) {
         CallStore(n, *call);
       } else if (auto* send = std::get_if<SendConfigMessage>(&action)) {
-        Deliver(n, *send);
+        SendToPeer(n, *send);
       } else if (auto* in_force = std::get_if<ConfigInForce>(&action)) {
-        REQUIRE(in_force->version > node.last);
-        node.last = in_force->version;
-        REQUIRE(node.last <= head);
-        if (node.last == head)
-          REQUIRE(node.view->state() == truth);
+        REQUIRE(in_force->version > process.last_in_force);
+        process.last_in_force = in_force->version;
+        REQUIRE(process.last_in_force <= head_version);
+        if (process.last_in_force == head_version)
+          REQUIRE(process.view->state() == committed_state);
       }
     }
-    sim.Wake(&node.process, node.view->next_wake(),
-             [this, n] { Do(n, nodes[n]->view->Tick(sim.now)); });
+    simulation.Wake(&process.sim_process, process.view->next_wake(), [this, n] {
+      Perform(n, processes[n]->view->Tick(simulation.now));
+    });
   }
 
   void CallStore(size_t n, const StoreCall& call) {
-    Node& node = *nodes[n];
-    if (node.store_cut) {
-      sim.Post(&node.process, Milliseconds(5), [=, this] {
-        Do(n, nodes[n]->view->Handle(sim.now, {call.tag, UnavailableReply{}}));
+    Process& process = *processes[n];
+    if (process.store_cut) {
+      simulation.Post(&process.sim_process, Milliseconds(5), [=, this] {
+        Perform(n, processes[n]->view->Handle(simulation.now,
+                                              {call.tag, UnavailableReply{}}));
       });
       return;
     }
-    store.Call(&node.process, call, [=, this](StoreAnswer answer) {
-      // A store that answers from an older moment. Answers that equal the
-      // version in force are excluded: freshness relies on their truth.
-      ConfigVersion version = nodes[n]->view->version();
+    store.Call(&process.sim_process, call, [=, this](StoreAnswer answer) {
+      // Simulates stale reads of the head. Only versions below the version in
+      // force are returned: a stale read of the same version would wrongly
+      // confirm it, which linearizable reads exclude.
+      ConfigVersion version = processes[n]->view->version();
       auto* rows = std::get_if<RowsReply>(&answer.reply);
       if (stale_head && version > 0 && rows && rows->rows.size() == 1 &&
-          rows->rows[0].key == kConfigHeadKey && sim.random.Chance(0.3)) {
-        rows->rows[0].value = EncodeHead({sim.random.Below(version), 0});
+          rows->rows[0].key == kConfigHeadKey &&
+          simulation.random.Chance(0.3)) {
+        rows->rows[0].value = EncodeHead({simulation.random.Below(version), 0});
       }
-      Do(n, nodes[n]->view->Handle(sim.now, answer));
+      Perform(n, processes[n]->view->Handle(simulation.now, answer));
     });
   }
 
-  void Deliver(size_t n, const SendConfigMessage& send) {
-    ++nodes[n]->messages;
+  void SendToPeer(size_t n, const SendConfigMessage& send) {
+    ++processes[n]->messages;
     size_t to = 0;
-    while (nodes[to]->id != send.to)
+    while (processes[to]->id != send.to)
       ++to;
-    if (nodes[n]->peers_cut.contains(to) || nodes[to]->peers_cut.contains(n))
+    if (processes[n]->peers_cut.contains(to) ||
+        processes[to]->peers_cut.contains(n))
       return;
-    int copies = sim.random.Chance(0.02) ? 2 : sim.random.Chance(0.98) ? 1 : 0;
+    int copies = simulation.random.Chance(0.02)   ? 2
+                 : simulation.random.Chance(0.98) ? 1
+                                                  : 0;
     for (int i = 0; i < copies; ++i) {
-      // A second copy is late.
-      Duration delay = sim.random.Between(Microseconds(200),
-                                          i == 0 ? peer_delay : Seconds(20));
-      sim.Post(&nodes[to]->process, delay,
-               [=, this, from = nodes[n]->id, message = send.message] {
-                 Do(to, nodes[to]->view->Handle(sim.now, from, message));
-               });
+      // A duplicate may arrive up to 20 s late.
+      Duration delay = simulation.random.Between(
+          Microseconds(200), i == 0 ? peer_delay : Seconds(20));
+      simulation.Post(
+          &processes[to]->sim_process, delay,
+          [=, this, from = processes[n]->id, message = send.message] {
+            Perform(to,
+                    processes[to]->view->Handle(simulation.now, from, message));
+          });
     }
   }
 
-  // Every request that an entry process would send now is allowed by 6.3.
-  void CheckSends() {
-    for (size_t n = 0; n < nodes.size(); ++n) {
-      if (nodes[n]->process.paused_until > sim.now)
+  // Checks that no process may send to a host that control may change.
+  void CheckPermissions() {
+    for (size_t n = 0; n < processes.size(); ++n) {
+      if (processes[n]->sim_process.paused_until > simulation.now)
         continue;
       for (size_t h = 0; h < 4; ++h) {
-        bool may = nodes[n]->view->MaySend(sim.now, Host(h));
-        allowed += may ? 1 : 0;
-        INFO("node " << n << " host " << h);
+        bool may = processes[n]->view->MaySend(simulation.now, Host(h));
+        sends_allowed += may ? 1 : 0;
+        INFO("process " << n << " host " << h);
         if (may)
-          REQUIRE_FALSE(MayChange(h));
+          REQUIRE_FALSE(ControlMayChange(h));
       }
     }
   }
 
-  Simulation sim;
+  Simulation simulation;
   FaultyTable store;
-  std::vector<std::unique_ptr<Node>> nodes;
-  FleetState truth;
-  ConfigVersion head = 0;
+  std::vector<std::unique_ptr<Process>> processes;
+  FleetState committed_state;
+  ConfigVersion head_version = 0;
   std::array<Time, 1100> committed_at{};
   std::array<ConfigVersion, 1100> drain_version{};
   bool stale_head = false;
   Duration peer_delay = Milliseconds(3);
-  uint64_t allowed = 0;
+  uint64_t sends_allowed = 0;
 };
 
-void RandomFault(World& world) {
-  Random& random = world.sim.random;
-  size_t n = random.Below(world.nodes.size());
-  World::Node& node = *world.nodes[n];
+void RandomFault(ConfigSite& site) {
+  Random& random = site.simulation.random;
+  size_t n = random.Below(site.processes.size());
+  ConfigSite::Process& process = *site.processes[n];
   switch (random.Below(9)) {
     case 0:
-      world.store.faults = RandomFaults(random);
+      site.store.faults = RandomFaults(random);
       break;
     case 1:
-      node.process.Pause(world.sim.now +
-                         random.Between(Milliseconds(10), Seconds(120)));
+      process.sim_process.Pause(site.simulation.now +
+                                random.Between(Milliseconds(10), Seconds(120)));
       break;
     case 2:
-      world.Start(n);
+      site.Start(n);
       break;
     case 3:
-      node.store_cut = !node.store_cut;
+      process.store_cut = !process.store_cut;
       break;
     case 4:
-      node.peers_cut.insert(random.Below(world.nodes.size()));
+      process.peers_cut.insert(random.Below(site.processes.size()));
       break;
     case 5:
-      node.peers_cut.clear();
+      process.peers_cut.clear();
       break;
     case 6:
-      world.stale_head = !world.stale_head;
+      site.stale_head = !site.stale_head;
       break;
     case 7:
-      world.peer_delay = random.Chance(0.3) ? Seconds(4) : Milliseconds(3);
+      site.peer_delay = random.Chance(0.3) ? Seconds(4) : Milliseconds(3);
       break;
     default:
-      world.store.faults = {};
+      site.store.faults = {};
   }
 }
 
 Figures RunRandom(uint64_t seed, int steps) {
-  World world(seed, 6);
-  Random& random = world.sim.random;
+  ConfigSite site(seed, 6);
+  Random& random = site.simulation.random;
   for (int step = 0; step < steps; ++step) {
     if (random.Chance(0.05)) {
       size_t host = random.Below(4);
-      bool drain = world.drain_version[host] == 0;
-      world.CommitHost(host, drain ? HostPhase::kDraining : HostPhase::kActive);
+      bool drain = site.drain_version[host] == 0;
+      site.CommitHost(host, drain ? HostPhase::kDraining : HostPhase::kActive);
     }
     if (random.Chance(0.004)) {
-      for (int i = 0; i < 150; ++i)  // Far behind.
-        world.CommitHost(0, HostPhase::kActive);
+      for (int i = 0; i < 150; ++i)  // More than two snapshot intervals.
+        site.CommitHost(0, HostPhase::kActive);
     }
     if (random.Chance(0.04))
-      RandomFault(world);
-    world.sim.RunUntil(world.sim.now +
-                       random.Between(Duration(0), Milliseconds(400)));
+      RandomFault(site);
+    site.simulation.RunUntil(site.simulation.now +
+                             random.Between(Duration(0), Milliseconds(400)));
     INFO("seed " << seed << " step " << step);
-    world.CheckSends();
+    site.CheckPermissions();
   }
-  world.store.faults = {};
-  world.stale_head = false;
-  world.peer_delay = Milliseconds(3);
-  for (auto& node : world.nodes) {
-    node->store_cut = false;
-    node->peers_cut.clear();
+  site.store.faults = {};
+  site.stale_head = false;
+  site.peer_delay = Milliseconds(3);
+  for (auto& process : site.processes) {
+    process->store_cut = false;
+    process->peers_cut.clear();
   }
-  world.sim.RunUntil(world.sim.now + Seconds(200));
-  Figures totals{{"events", world.sim.events}, {"allowed", world.allowed}};
-  for (auto& node : world.nodes) {
-    INFO("seed " << seed << " node " << node->id.str());
-    REQUIRE(node->view->ready());
-    REQUIRE(node->view->state() == world.truth);
-    totals["states"] += node->view->counters().states_adopted;
-    totals["relayed"] += node->view->counters().peer_confirmations;
+  site.simulation.RunUntil(site.simulation.now + Seconds(200));
+  Figures totals{{"events", site.simulation.events},
+                 {"allowed", site.sends_allowed}};
+  for (auto& process : site.processes) {
+    INFO("seed " << seed << " process " << process->id.str());
+    REQUIRE(process->view->ready());
+    REQUIRE(process->view->state() == site.committed_state);
+    totals["states"] += process->view->counters().states_adopted;
+    totals["relayed"] += process->view->counters().peer_confirmations;
   }
   return totals;
 }
 
-// Guards against a version that decreases, a send to a host that control may
-// change by 6.3 (c), and a view that does not reach the head, under any order
-// of faults.
+// Guards against a version in force that decreases, a permission to send to a
+// host that control may change, and a view that does not reach the head after
+// random faults.
 TEST_CASE("views follow the log under random faults") {
   Figures sum = RunSeeds("config", 60,
                          [](uint64_t seed) { return RunRandom(seed, 1000); });
@@ -289,90 +308,102 @@
   REQUIRE(sum["relayed"] > 0);
 }
 
-// A world without faults, in which all registered.
-struct Calm : World {
-  Calm() : World(1, 6) { sim.RunUntil(sim.now + Seconds(8)); }
+// A site without faults in which all processes have registered.
+struct HealthySite : ConfigSite {
+  HealthySite() : ConfigSite(1, 6) {
+    simulation.RunUntil(simulation.now + Seconds(8));
+  }
 
-  void Run(Duration duration) { sim.RunUntil(sim.now + duration); }
+  void Run(Duration duration) {
+    simulation.RunUntil(simulation.now + duration);
+  }
   bool MaySend(size_t n, size_t host) {
-    return nodes[n]->view->MaySend(sim.now, Host(host));
+    return processes[n]->view->MaySend(simulation.now, Host(host));
   }
 };
 
-// Guards against a permission for other zones that outlives the freshness, and
-// against one that a relayed confirmation does not prolong.
-TEST_CASE("a cut-off process sends to other zones while peers confirm") {
-  Calm w;
-  w.nodes[0]->store_cut = true;
-  w.Run(Seconds(30));
-  REQUIRE(w.MaySend(0, 1));
+// Guards against a permission to send to other zones that lasts longer than
+// kMaxConfirmationAge, and against one that confirmations from peers do not
+// extend.
+TEST_CASE(
+    "without the store, peers' confirmations permit sends to other zones") {
+  HealthySite site;
+  site.processes[0]->store_cut = true;
+  site.Run(Seconds(30));
+  REQUIRE(site.MaySend(0, 1));
   for (size_t i = 0; i < 6; ++i)
-    w.nodes[0]->peers_cut.insert(i);
-  w.Run(Seconds(7));
-  REQUIRE_FALSE(w.MaySend(0, 1));
-  REQUIRE(w.MaySend(0, 0));  // Own zone: for as long as the partition lasts.
+    site.processes[0]->peers_cut.insert(i);
+  site.Run(Seconds(7));
+  REQUIRE_FALSE(site.MaySend(0, 1));
+  REQUIRE(site.MaySend(0, 0));  // Own zone: without a time limit.
 }
 
-// Guards against a start that serves an old version because its holder answered
-// first, and a start that serves before the window ends.
-TEST_CASE("without the store a process starts from its peers") {
-  Calm w;
-  w.nodes[2]->store_cut = true;
+// Guards against a starting process that takes an old version because the peer
+// with that version answered first, and against one that is ready before
+// kStartupWindow ends.
+TEST_CASE(
+    "without the store, a process starts with its peers' latest version") {
+  HealthySite site;
+  site.processes[2]->store_cut = true;
   for (size_t i = 0; i < 6; ++i)
-    w.nodes[2]->peers_cut.insert(i);
-  w.CommitHost(0, HostPhase::kActive);  // Node 2 stays behind.
-  w.Run(Seconds(3));
-  REQUIRE(w.nodes[2]->view->version() < w.head);
-  w.nodes[2]->peers_cut.clear();
-  w.nodes[0]->store_cut = true;
-  w.nodes[2]->peers_cut = {4};
-  w.Start(0);
-  w.Run(Milliseconds(1900));
-  REQUIRE_FALSE(w.nodes[0]->view->ready());
-  w.Run(Milliseconds(2500));
-  REQUIRE(w.nodes[0]->view->ready());
-  REQUIRE(w.nodes[0]->view->version() == w.head);
+    site.processes[2]->peers_cut.insert(i);
+  site.CommitHost(0, HostPhase::kActive);  // Process 2 misses this.
+  site.Run(Seconds(3));
+  REQUIRE(site.processes[2]->view->version() < site.head_version);
+  site.processes[2]->peers_cut.clear();
+  site.processes[0]->store_cut = true;
+  site.processes[2]->peers_cut = {4};
+  site.Start(0);
+  site.Run(Milliseconds(1900));
+  REQUIRE_FALSE(site.processes[0]->view->ready());
+  site.Run(Milliseconds(2500));
+  REQUIRE(site.processes[0]->view->ready());
+  REQUIRE(site.processes[0]->view->version() == site.head_version);
 }
 
-// Guards against 6.3 (d): a sponsor that acknowledges a drain before the
-// process that it sponsors, or never.
-TEST_CASE("a sponsor acknowledges after those it sponsors") {
-  Calm w;
-  ConfigView& sponsor = *w.nodes[0]->view;
-  MemberId other = w.nodes[2]->id;
-  ConfigVersion old = w.head;
-  ConfigAnnouncement ask{1'000'000, old, {99}, true, {World::Host(2)}};
+// Guards against a sponsor that acknowledges a drain while a process that it
+// sponsors may still send under an older version, or that never acknowledges
+// it.
+TEST_CASE("a sponsor acknowledges a version after the processes it sponsors") {
+  HealthySite site;
+  ConfigView& sponsor = *site.processes[0]->view;
+  MemberId other = site.processes[2]->id;
+  ConfigVersion old = site.head_version;
+  ConfigAnnouncement ask{1'000'000, old, {99}, true, {ConfigSite::Host(2)}};
   auto reply = [&] {
     ++ask.request;
-    auto sent = All<SendConfigMessage>(sponsor.Handle(w.sim.now, other, ask));
+    auto sent =
+        All<SendConfigMessage>(sponsor.Handle(site.simulation.now, other, ask));
     return std::get<ConfigAnnouncementReply>(sent.at(0).message).sponsors;
   };
-  w.Run(Seconds(5));
+  site.Run(Seconds(5));
   REQUIRE(reply());
-  w.CommitHost(0, HostPhase::kDraining);
-  w.Run(Seconds(2));
-  REQUIRE(sponsor.version() == w.head);
-  REQUIRE(sponsor.AcknowledgedVersion(w.sim.now) == old);
-  REQUIRE(sponsor.AcknowledgedBusyHosts(w.sim.now).size() == 1);
-  w.Run(Milliseconds(2100));
-  REQUIRE(sponsor.AcknowledgedVersion(w.sim.now) == w.head);
-  REQUIRE_FALSE(reply());  // Below what the sponsor acknowledged.
+  site.CommitHost(0, HostPhase::kDraining);
+  site.Run(Seconds(2));
+  REQUIRE(sponsor.version() == site.head_version);
+  REQUIRE(sponsor.AcknowledgedVersion(site.simulation.now) == old);
+  REQUIRE(sponsor.AcknowledgedBusyHosts(site.simulation.now).size() == 1);
+  site.Run(Milliseconds(2100));
+  REQUIRE(sponsor.AcknowledgedVersion(site.simulation.now) ==
+          site.head_version);
+  REQUIRE_FALSE(reply());  // Its version is below the acknowledged one.
 }
 
-// Guards against answers to peers without a bound, and a state in parts that
-// is put together wrongly.
+// Guards against answers to peers of unbounded size and against a whole state
+// that is assembled wrongly from its parts.
 TEST_CASE("a whole state is transferred in bounded parts") {
-  Calm w;
+  HealthySite site;
   for (int i = 0; i < 1500; ++i)
-    w.CommitHost(static_cast<size_t>(i % 1100), HostPhase::kActive);
-  w.Run(Seconds(40));
-  ConfigView& from = *w.nodes[0]->view;
-  REQUIRE(from.version() == w.head);
-  ConfigView view(ConfigViewOptions{MemberId("n"), World::Zone(0), {1}, 3});
-  view.SetPeers({{w.nodes[0]->id, World::Zone(0)}});
-  std::vector<ConfigAction> out = view.Tick(w.sim.now);
+    site.CommitHost(static_cast<size_t>(i % 1100), HostPhase::kActive);
+  site.Run(Seconds(40));
+  ConfigView& from = *site.processes[0]->view;
+  REQUIRE(from.version() == site.head_version);
+  ConfigView view(
+      ConfigViewOptions{MemberId("n"), ConfigSite::Zone(0), {1}, 3});
+  view.SetPeers({{site.processes[0]->id, ConfigSite::Zone(0)}});
+  std::vector<ConfigAction> out = view.Tick(site.simulation.now);
   size_t messages = 0;
-  for (Time now = w.sim.now; !view.ready() && messages < 1000;
+  for (Time now = site.simulation.now; !view.ready() && messages < 1000;
        now += Milliseconds(100)) {
     std::vector<ConfigAction> next = view.Tick(now);
     for (auto& send : All<SendConfigMessage>(out)) {
@@ -381,34 +412,34 @@
         ++messages;
         if (auto* a = std::get_if<ConfigDeltaAnswer>(&reply.message))
           REQUIRE(a->state_part.size() <= ConfigView::kMaxAnswerBytes);
-        auto more = view.Handle(now, w.nodes[0]->id, reply.message);
+        auto more = view.Handle(now, site.processes[0]->id, reply.message);
         next.insert(next.end(), more.begin(), more.end());
       }
     }
     out = std::move(next);
   }
-  REQUIRE(view.state() == w.truth);
-  REQUIRE(messages >=
-          EncodeState(w.truth).size() / ConfigView::kMaxAnswerBytes);
+  REQUIRE(view.state() == site.committed_state);
+  REQUIRE(messages >= EncodeState(site.committed_state).size() /
+                          ConfigView::kMaxAnswerBytes);
 }
 
-// Guards against polls in step or without pause while the store is down, and
-// measures the polls.
+// Guards against polling a store that is down without backoff, and prints the
+// numbers of polls and peer messages.
 TEST_CASE("polls back off while the store is down") {
-  Calm w;
-  uint64_t before = w.nodes[0]->view->counters().polls;
-  uint64_t messages = w.nodes[0]->messages;
-  w.Run(Seconds(60));
-  messages = w.nodes[0]->messages - messages;
-  uint64_t up = w.nodes[0]->view->counters().polls - before;
-  w.store.faults.down = true;
-  w.Run(Seconds(60));
-  uint64_t down = w.nodes[0]->view->counters().polls - before - up;
-  w.store.faults.down = false;
-  w.CommitHost(0, HostPhase::kActive);
-  w.Run(Seconds(5));
-  for (auto& node : w.nodes)
-    REQUIRE(node->view->version() == w.head);
+  HealthySite site;
+  uint64_t before = site.processes[0]->view->counters().polls;
+  uint64_t messages = site.processes[0]->messages;
+  site.Run(Seconds(60));
+  messages = site.processes[0]->messages - messages;
+  uint64_t up = site.processes[0]->view->counters().polls - before;
+  site.store.faults.down = true;
+  site.Run(Seconds(60));
+  uint64_t down = site.processes[0]->view->counters().polls - before - up;
+  site.store.faults.down = false;
+  site.CommitHost(0, HostPhase::kActive);
+  site.Run(Seconds(5));
+  for (auto& process : site.processes)
+    REQUIRE(process->view->version() == site.head_version);
   std::printf(
       "config: 6 members, 60 s: %llu peer messages; polls %llu up, "
       "%llu down\n",
@@ -419,70 +450,77 @@
   REQUIRE(down <= 30);
 }
 
-// Guards against sends of a process that control does not know, or under a view
-// that is older than its registration, against a sponsor's restart that forgets
-// whom it sponsored, and against a permission that outlives the sponsor's
-// answers.
+// Guards against a permission to send for a process that control does not know
+// or whose version was confirmed only before its registration, against a
+// process that acknowledges a version just after its start although an earlier
+// incarnation may have sponsored others, and against a permission that lasts
+// longer than the sponsor's answers allow.
 TEST_CASE("sending needs a member row or an answering sponsor") {
-  Calm w;
-  ConfigView view(ConfigViewOptions{MemberId("n"), World::Zone(0), {1}, 3});
-  view.SetPeers({{w.nodes[0]->id, World::Zone(0)}});
-  w.nodes[0]->view->SetPeers({{MemberId("n"), World::Zone(0)}});
-  Time start = w.sim.now;
+  HealthySite site;
+  ConfigView view(
+      ConfigViewOptions{MemberId("n"), ConfigSite::Zone(0), {1}, 3});
+  view.SetPeers({{site.processes[0]->id, ConfigSite::Zone(0)}});
+  site.processes[0]->view->SetPeers({{MemberId("n"), ConfigSite::Zone(0)}});
+  Time start = site.simulation.now;
   bool sponsored = GENERATE(false, true);
   std::vector<ConfigAction> out = view.Tick(start);
   for (int i = 0; i < 10 && !out.empty(); ++i) {
     std::vector<ConfigAction> next;
     for (const StoreCall& call : All<StoreCall>(out))
-      next = view.Handle(start, {call.tag, w.store.table.Handle(call.request)});
+      next =
+          view.Handle(start, {call.tag, site.store.table.Handle(call.request)});
     for (auto& send : All<SendConfigMessage>(out)) {
       auto replies =
-          w.nodes[0]->view->Handle(start, MemberId("n"), send.message);
-      // Behind what the sponsor acknowledged until the log is read.
+          site.processes[0]->view->Handle(start, MemberId("n"), send.message);
+      // The sponsor refuses, since this version is below its acknowledged one
+      // until the log is read.
       for (auto& reply : All<SendConfigMessage>(replies))
-        view.Handle(start, w.nodes[0]->id, reply.message);
+        view.Handle(start, site.processes[0]->id, reply.message);
     }
     out = std::move(next);
   }
   REQUIRE(view.ready());
   REQUIRE(view.AcknowledgedVersion(start + Milliseconds(3999)) == 0);
-  REQUIRE(view.AcknowledgedVersion(start + Seconds(4)) == w.head);
-  REQUIRE_FALSE(view.MaySend(start, World::Host(0)));
-  REQUIRE_FALSE(view.MaySend(start, World::Host(1)));
+  REQUIRE(view.AcknowledgedVersion(start + Seconds(4)) == site.head_version);
+  REQUIRE_FALSE(view.MaySend(start, ConfigSite::Host(0)));
+  REQUIRE_FALSE(view.MaySend(start, ConfigSite::Host(1)));
   if (!sponsored) {
     view.SetRegistered(true);
-    // A drain may have been acknowledged by all others before the row existed.
-    REQUIRE_FALSE(view.MaySend(start, World::Host(0)));
+    // All others may have acknowledged a drain before this process's row
+    // existed.
+    REQUIRE_FALSE(view.MaySend(start, ConfigSite::Host(0)));
     Time read = start + Milliseconds(1);
     for (const StoreCall& call : All<StoreCall>(view.Tick(read)))
-      view.Handle(read, {call.tag, w.store.table.Handle(call.request)});
-    REQUIRE(view.MaySend(read + Seconds(100), World::Host(0)));
-    REQUIRE(view.MaySend(read + Seconds(5), World::Host(1)));
+      view.Handle(read, {call.tag, site.store.table.Handle(call.request)});
+    REQUIRE(view.MaySend(read + Seconds(100), ConfigSite::Host(0)));
+    REQUIRE(view.MaySend(read + Seconds(5), ConfigSite::Host(1)));
     REQUIRE_FALSE(
-        view.MaySend(read + Seconds(5) + Microseconds(1), World::Host(1)));
+        view.MaySend(read + Seconds(5) + Microseconds(1), ConfigSite::Host(1)));
     return;
   }
   Time later = start + Seconds(1);
   for (auto& send : All<SendConfigMessage>(view.Tick(later))) {
-    auto replies = w.nodes[0]->view->Handle(later, MemberId("n"), send.message);
+    auto replies =
+        site.processes[0]->view->Handle(later, MemberId("n"), send.message);
     for (auto& reply : All<SendConfigMessage>(replies))
-      view.Handle(later + Seconds(1), w.nodes[0]->id, reply.message);
+      view.Handle(later + Seconds(1), site.processes[0]->id, reply.message);
   }
-  REQUIRE(view.MaySend(later + Milliseconds(2999), World::Host(0)));
-  REQUIRE_FALSE(view.MaySend(later + Seconds(3), World::Host(0)));
+  REQUIRE(view.MaySend(later + Milliseconds(2999), ConfigSite::Host(0)));
+  REQUIRE_FALSE(view.MaySend(later + Seconds(3), ConfigSite::Host(0)));
 }
 
-// Guards against a start that reads the whole log.
-TEST_CASE("a process far behind reads the snapshot") {
-  Calm w;
+// Guards against a starting process that reads the whole log.
+TEST_CASE(
+    "a process more than one snapshot interval behind reads the snapshot") {
+  HealthySite site;
   for (int i = 0; i < 1000; ++i)
-    w.CommitHost(0, HostPhase::kActive);
+    site.CommitHost(0, HostPhase::kActive);
   for (size_t i = 0; i < 6; ++i)
-    w.nodes[0]->peers_cut.insert(i);
-  w.Start(0);
-  w.Run(Seconds(3));
-  const ConfigView& view = *w.nodes[0]->view;
-  REQUIRE(view.state() == w.truth);
+    site.processes[0]->peers_cut.insert(i);
+  site.Start(0);
+  site.Run(Seconds(3));
+  const ConfigView& view = *site.processes[0]->view;
+  REQUIRE(view.state() == site.committed_state);
   REQUIRE(view.counters().states_adopted == 1);
   REQUIRE(view.counters().deltas_applied < kSnapshotInterval);
 }
--- a/radishmoor/config/testing/fleet_state_test.cc
+++ b/radishmoor/config/testing/fleet_state_test.cc
@@ -32,7 +32,7 @@
   return delta;
 }
 
-// Guards against a field that is stored but not read back, or the reverse.
+// Guards against a field that is encoded but not decoded, or the reverse.
 TEST_CASE("stored configuration text decodes to the same value") {
   ConfigDelta delta = SampleDelta();
   REQUIRE(DecodeDelta(EncodeDelta(delta)) == delta);
@@ -44,8 +44,8 @@
   REQUIRE(head.snapshot == 5);
 }
 
-// Guards against a gap or a repeat in the log changing the state.
-TEST_CASE("a delta applies only to the version before it") {
+// Guards against applying a delta after a gap or for the second time.
+TEST_CASE("a delta applies only to the preceding version") {
   FleetState state;
   ConfigDelta delta = SampleDelta();
   delta.version = 2;
@@ -56,7 +56,7 @@
   REQUIRE(state.version == 1);
 }
 
-TEST_CASE("damaged text is an error of this layer") {
+TEST_CASE("decoding damaged text throws ConfigFormatError") {
   REQUIRE_THROWS_AS(DecodeDelta("{\"version\":1}"), ConfigFormatError);
   REQUIRE_THROWS_AS(DecodeHead("not json"), ConfigFormatError);
 }
--- a/radishmoor/config/testing/inventory_test.cc
+++ b/radishmoor/config/testing/inventory_test.cc
@@ -39,7 +39,7 @@
 
 const char kPool[] = R"({"id":"p","max_unavailable":1})";
 
-// Guards against example files that a new operator cannot apply.
+// Guards against example site files that an operator cannot apply.
 TEST_CASE("the files of both sites are accepted") {
   for (const char* name : {"akwaaba.json", "nilehook.json"}) {
     INFO(name);
@@ -55,7 +55,8 @@
   }
 }
 
-// Guards against an operator who fixes one fault only to meet the next.
+// Guards against reporting only the first error, so that an operator finds the
+// next one only after fixing it.
 TEST_CASE("all errors are reported with their path") {
   std::string lines = ErrorLines(Document(
       Host("a", "1") + "," + Host("a", "2") + "," + Host("b", "1") + "," +
@@ -71,7 +72,7 @@
         "$.hosts[3].cpu: unknown field; remove it; known fields are ",
         "$.hosts[3].intent: is not an intent; ",
         "$.hosts[4].accelerators: expected an integer, found a fraction; ",
-        "$.hosts[4].connections: expected an integer, found a text; ",
+        "$.hosts[4].connections: expected an integer, found a string; ",
         "$.hosts[5]: expected an object, found an integer; ",
         "$.pools[1].id: pool p is already at $.pools[0].id; ",
         "$.pools[2].wave_limit: 1 is above max_unavailable, 0; ",
@@ -85,7 +86,7 @@
   REQUIRE(std::count(lines.begin(), lines.end(), '\n') == 14);
 }
 
-TEST_CASE("references and budgets that cannot hold are errors") {
+TEST_CASE("inconsistent references and budgets are errors") {
   auto lines = ErrorLines(Document(
       Host("a", "1") + "," + Host("b", "2", R"(,"intent":"retire")"), kPool));
   REQUIRE(lines ==
@@ -101,8 +102,8 @@
           std::string::npos);
 }
 
-// Guards against a text that reads differently from what its author sees.
-TEST_CASE("a repeated field is an error, at any depth") {
+// Guards against silently using the last of several equal keys.
+TEST_CASE("a repeated field is an error at any depth") {
   REQUIRE(ErrorLines(R"({"pools":[],"hosts":[],"pools":[]})") ==
           "f.json: $.pools: the field is given twice in one object; keep one "
           "of them\n");
@@ -124,7 +125,7 @@
           std::string::npos);
 }
 
-TEST_CASE("the list of errors is bounded") {
+TEST_CASE("at most kMaxListedErrors errors are listed") {
   std::string hosts = "1";
   for (int i = 1; i < 1000; ++i)
     hosts += ",1";
@@ -133,8 +134,8 @@
   REQUIRE(errors.back().problem == "800 more errors are not listed");
 }
 
-// A byte-wise mutation of a valid text: removal, overwrite, or the copy of one
-// range over another place.
+// Returns `text` with one to three random mutations: a range is removed, a byte
+// is overwritten, or a range is copied to another position.
 std::string Mutated(std::string text, uint64_t seed) {
   for (int n = 1 + static_cast<int>(seed % 3); n > 0; --n) {
     seed = seed * 6364136223846793005ull + 1442695040888963407ull;
@@ -154,8 +155,9 @@
   return text;
 }
 
-// Oracle with the document type of Boost.JSON: ids and addresses of what was
-// accepted are distinct in the text itself.
+// Returns true if two hosts or two pools of the text have the same id, or two
+// hosts the same address. Uses Boost.JSON's document type, independently of
+// ParseInventory().
 bool HasDuplicate(const std::string& text) {
   std::set<std::string> seen;
   auto document = boost::json::parse(text).as_object();
@@ -172,9 +174,9 @@
   return false;
 }
 
-// Guards against a crash on a damaged file and against a duplicate that a
-// damaged file brings in.
-TEST_CASE("mutated text is refused or holds no duplicate") {
+// Guards against a crash on a damaged file and against accepting a duplicate id
+// or address from one.
+TEST_CASE("mutated text is rejected or contains no duplicates") {
   const std::string site = SiteFile("nilehook.json");
   const std::string small =
       Document(Host("a", "1") + "," + Host("b", "2"), kPool);
--- a/radishmoor/config/testing/plan_test.cc
+++ b/radishmoor/config/testing/plan_test.cc
@@ -10,7 +10,8 @@
 namespace radishmoor {
 namespace {
 
-// A random valid inventory over the hosts h0..h11 and the pools p0..p3.
+// Returns a random valid inventory of hosts among h0 to h11 and pools among p0
+// to p3.
 Inventory RandomInventory(Random& random) {
   Inventory inventory;
   for (uint64_t p = 0, n = 1 + random.Below(4); p < n; ++p) {
@@ -45,8 +46,8 @@
   return inventory;
 }
 
-// Changes what control owns.
-void RandomControl(FleetState& state, Random& random) {
+// Randomly changes the host fields that only control processes change.
+void ChangeControlFields(FleetState& state, Random& random) {
   for (auto& [id, host] : state.hosts) {
     host.phase = static_cast<HostPhase>(random.Below(5));
     host.epoch += random.Below(3);
@@ -59,9 +60,10 @@
   return state;
 }
 
-// `state` as an inventory, without what waits for control: hosts that retire
-// and closed pools that `wanted` lacks.
-Inventory Settled(const FleetState& state, const Inventory& wanted) {
+// Returns `state` as an inventory, without the objects that `wanted` lacks and
+// that a later plan will remove: retiring hosts and closed pools.
+Inventory WithoutPendingRemovals(const FleetState& state,
+                                 const Inventory& wanted) {
   Inventory inventory = InventoryOf(state);
   std::erase_if(inventory.hosts, [&](const auto& item) {
     return item.second.intent == HostIntent::kRetire &&
@@ -73,15 +75,15 @@
   return inventory;
 }
 
-// Guards against a plan that leaves out a difference, changes what control
-// owns, or never settles.
-TEST_CASE("plan then apply leads to the inventory") {
+// Guards against a plan that omits a difference, changes fields of control, or
+// still has changes after it was applied.
+TEST_CASE("applying a plan leads to the inventory") {
   REQUIRE(rc::check([](uint64_t seed) {
     Random random(seed);
     FleetState state;
     for (int round = 0; round < 4; ++round) {
       Inventory wanted = RandomInventory(random);
-      // Hosts that retired for good are not asked to serve.
+      // A plan that returns a retired host to service would be refused.
       for (auto& [id, host] : wanted.hosts) {
         if (const HostState* old = state.FindHost(id);
             old != nullptr && old->phase == HostPhase::kRetired)
@@ -90,7 +92,7 @@
       ConfigPlan plan = PlanInventory(state, wanted);
       RC_ASSERT(plan.refusals.empty());
       FleetState after = After(state, plan);
-      RC_ASSERT(Settled(after, wanted) == wanted);
+      RC_ASSERT(WithoutPendingRemovals(after, wanted) == wanted);
       RC_ASSERT(PlanInventory(after, wanted).empty());
       RC_ASSERT(plan.empty() == (InventoryOf(after) == InventoryOf(state)));
       for (const auto& [id, host] : after.hosts) {
@@ -106,7 +108,7 @@
         RC_ASSERT(after.hosts.contains(id) ||
                   host.phase == HostPhase::kRetired);
       state = after;
-      RandomControl(state, random);
+      ChangeControlFields(state, random);
     }
   }));
 }
@@ -134,12 +136,12 @@
   return After({}, PlanInventory({}, inventory));
 }
 
-bool Warns(const ConfigPlan& plan, std::string_view text) {
+bool TextContains(const ConfigPlan& plan, std::string_view text) {
   return PlanText(plan).find(text) != std::string::npos;
 }
 
-// Guards against a change that an operator accepts without seeing its cost.
-TEST_CASE("a plan shows moves, waves and what strains a budget") {
+// Guards against a plan that does not show the operator the cost of a change.
+TEST_CASE("a plan shows moves, waves and budget warnings") {
   Inventory wanted = TwoPools();
   FleetState state = Accepted(wanted);
   for (const char* id : {"a0", "a1", "a2"})
@@ -149,26 +151,26 @@
   wanted.rules.maintenance = "r1";
   ConfigPlan plan = PlanInventory(state, wanted);
   REQUIRE(plan.moves.size() == 3);
-  REQUIRE(Warns(plan, "~ host a0: wanted_pool a -> b\n"));
-  REQUIRE(Warns(plan,
-                "pool a: 3 hosts leave and the budget is 1; they leave "
-                "in at least 3 steps"));
-  REQUIRE(Warns(plan, "pool a: every host in service leaves"));
-  REQUIRE(Warns(plan,
-                "pool b: 2 hosts should be drained and the budget is 1; "
-                "control leaves 1 in service"));
-  // Canary a0, then one rack and one host of pool b at a time.
+  REQUIRE(TextContains(plan, "~ host a0: wanted_pool a -> b\n"));
+  REQUIRE(TextContains(plan,
+                       "pool a: 3 hosts leave and the budget is 1; they leave "
+                       "in at least 3 steps"));
+  REQUIRE(TextContains(plan, "pool a: every host in service leaves"));
+  REQUIRE(TextContains(plan,
+                       "pool b: 2 hosts should be drained and the budget is 1; "
+                       "control leaves 1 in service"));
+  // The canary is a0. Each further wave takes one rack and one host of pool b.
   REQUIRE(plan.waves ==
           std::vector<std::vector<HostId>>{
               {HostId("a0")}, {HostId("a1")}, {HostId("a2")}, {HostId("b2")}});
   wanted.pools[PoolId("b")].max_unavailable = 0;
   plan = PlanInventory(state, wanted);
   REQUIRE(plan.waves.empty());
-  REQUIRE(Warns(plan, "pool b: its budget or wave limit is 0"));
+  REQUIRE(TextContains(plan, "pool b: its budget or wave limit is 0"));
 }
 
-// Guards against one backend server that is known under two hosts.
-TEST_CASE("an address is not taken over before its host has retired") {
+// Guards against one backend server that is known as two hosts.
+TEST_CASE("an address is not reused before its host has retired") {
   Inventory wanted = TwoPools();
   FleetState state = Accepted(wanted);
   auto node = wanted.hosts.extract(HostId("a0"));
@@ -178,31 +180,38 @@
   state.hosts[HostId("a0")].phase = HostPhase::kRetired;
   REQUIRE(PlanInventory(state, wanted).refusals.empty());
   wanted = TwoPools();
-  REQUIRE(Warns(PlanInventory(state, wanted), "host a0 has retired"));
+  REQUIRE(TextContains(PlanInventory(state, wanted), "host a0 has retired"));
+  REQUIRE(!PlanHostIntent(state, HostId("a0"), HostIntent::kServe)
+               .refusals.empty());
   REQUIRE(
-      !PlanIntent(state, HostId("a0"), HostIntent::kServe).refusals.empty());
-  REQUIRE(!PlanIntent(state, HostId("x"), HostIntent::kDrain).refusals.empty());
+      !PlanHostIntent(state, HostId("x"), HostIntent::kDrain).refusals.empty());
 }
 
-// Guards against a pool that is retired host by host until its budget allows
-// it to have none.
+// Guards against retiring the hosts of a pool one by one until its budget
+// allows all remaining hosts to be unavailable.
 TEST_CASE("a retirement must leave more hosts than the pool may lose") {
   FleetState state = Accepted(TwoPools());
-  ConfigPlan plan = PlanIntent(state, HostId("a0"), HostIntent::kRetire);
+  ConfigPlan plan = PlanHostIntent(state, HostId("a0"), HostIntent::kRetire);
   REQUIRE(plan.refusals.empty());
   state = After(state, plan);
-  REQUIRE(PlanIntent(state, HostId("a0"), HostIntent::kRetire).empty());
-  REQUIRE(Warns(PlanIntent(state, HostId("a1"), HostIntent::kRetire),
-                "pool a would keep 1 hosts and may lose 1; lower"));
-  REQUIRE(PlanIntent(state, HostId("a1"), HostIntent::kDrain).refusals.empty());
-  state.pools[PoolId("a")].closed = true;
+  REQUIRE(PlanHostIntent(state, HostId("a0"), HostIntent::kRetire).empty());
+  REQUIRE(TextContains(PlanHostIntent(state, HostId("a1"), HostIntent::kRetire),
+                       "pool a would keep 1 hosts and may lose 1; lower"));
   REQUIRE(
-      PlanIntent(state, HostId("a1"), HostIntent::kRetire).refusals.empty());
+      PlanHostIntent(state, HostId("a1"), HostIntent::kDrain).refusals.empty());
+  state.pools[PoolId("a")].closed = true;
+  REQUIRE(PlanHostIntent(state, HostId("a1"), HostIntent::kRetire)
+              .refusals.empty());
 }
 
-// A store with scripted faults for the commits of deltas.
+// A store that injects a given sequence of faults into commits.
 struct FaultyStore {
-  enum class Fault { kNone, kLostBefore, kLostAfter, kDown };
+  enum class Fault {
+    kNone,
+    kLostBefore,  // The request is lost.
+    kLostAfter,   // The commit takes effect and the answer is lost.
+    kDown,
+  };
 
   MemoryTable table;
   std::vector<Fault> faults;  // For the next commits, in order.
@@ -238,7 +247,7 @@
         [&](const FleetState& s) { return PlanInventory(s, wanted); },
         {OperationId{operation}, "op", expected});
   }
-  // A change by control or by another operator.
+  // Commits a change of the first host by control or by another operator.
   void Change(const std::function<void(HostState&)>& change,
               uint64_t operation) {
     LoadedConfig loaded = LoadConfig(executor());
@@ -254,8 +263,8 @@
 
 using Fault = FaultyStore::Fault;
 
-// Guards against a change that is applied twice, or reported as failed though
-// it was applied, when answers are lost.
+// Guards against a change that is applied twice or is reported as failed
+// although it was applied, after answers were lost.
 TEST_CASE("a lost answer is resolved by the operation id") {
   struct Case {
     std::vector<Fault> faults;
@@ -276,7 +285,8 @@
     REQUIRE(outcome.result == c.result);
     bool applied = c.result == ApplyResult::kApplied;
     REQUIRE(store.state().version == (applied ? 1 : 0));
-    // The same command again ends in the same single change.
+    // Repeating the command commits the change if it was not committed, and
+    // once only.
     REQUIRE(store.Apply(TwoPools(), 7).result == ApplyResult::kApplied);
     REQUIRE(store.state().version == 1);
     REQUIRE(store.Apply(TwoPools(), 8).result == ApplyResult::kNothingToDo);
@@ -286,9 +296,9 @@
   REQUIRE(store.Apply(TwoPools(), 7).result == ApplyResult::kUnavailable);
 }
 
-// Guards against an operator who silently undoes another one's change, and
-// against operators who never get through while control works.
-TEST_CASE("an operator's change conflicts, control's does not") {
+// Guards against an operator's change that silently reverts another operator's,
+// and against conflicts with control that prevent all operators' changes.
+TEST_CASE("a change by another operator conflicts, one by control does not") {
   FaultyStore store;
   store.Apply(TwoPools(), 1);
   Inventory wanted = TwoPools();
@@ -312,9 +322,9 @@
   REQUIRE(store.Apply(wanted, 7, 4).result == ApplyResult::kApplied);
 }
 
-// Guards against a log that grows without a snapshot and against a snapshot
-// that differs from the log.
-TEST_CASE("a snapshot is written every interval and reads the same") {
+// Guards against a log that grows without snapshots and against a snapshot that
+// differs from the state of the log.
+TEST_CASE("a snapshot is written every interval and equals the log's state") {
   FaultyStore store;
   store.Apply(TwoPools(), 1);
   Inventory wanted = TwoPools();
@@ -325,7 +335,7 @@
   LoadedConfig loaded = LoadConfig(store.executor());
   REQUIRE(loaded.head.snapshot == kSnapshotInterval);
   REQUIRE(loaded.deltas.size() == 3);
-  REQUIRE(Settled(loaded.state, wanted) == wanted);
+  REQUIRE(WithoutPendingRemovals(loaded.state, wanted) == wanted);
   REQUIRE(FindOperation(store.executor(), {2}) == 2);
   REQUIRE(FindOperation(store.executor(), {999}) == std::nullopt);
   REQUIRE(store.Apply(wanted, 999, 9).result == ApplyResult::kConflict);
--- a/radishmoor/ctl/ctl.cc
+++ b/radishmoor/ctl/ctl.cc
@@ -24,14 +24,14 @@
 
 namespace json = boost::json;
 
-// Number and form of the arguments of each command.
-struct CommandForm {
+// Name, number of arguments and usage text of a command.
+struct CommandSyntax {
   const char* name;
   size_t arguments;
   const char* usage;
 };
 
-constexpr CommandForm kCommands[] = {
+constexpr CommandSyntax kCommands[] = {
     {"plan", 1, "plan FILE"},
     {"apply", 1, "apply FILE"},
     {"show", 1, "show pools|hosts|config"},
@@ -84,8 +84,9 @@
   return kNames[static_cast<int>(phase)];
 }
 
-// At most one byte more than an inventory may have, so that its own check
-// reports the size.
+// Returns the content of a file, or nullopt if it cannot be read. Reads at most
+// kMaxInventoryBytes + 1, so that ParseInventory() reports a file that is too
+// large.
 std::optional<std::string> ReadFile(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   if (!file)
@@ -104,18 +105,18 @@
             std::ostream& err) {
   std::ifstream logs(path, std::ios::binary);
   if (!logs) {
-    err << path << ": cannot be read; check the path\n";
+    err << path << ": cannot read the file; check the path\n";
     return kCtlUsage;
   }
   JobExplanation explanation = ExplainJob(job, logs);
   out << explanation.text;
-  if (explanation.unreadable > 0)
-    err << "warning: " << explanation.unreadable
-        << " lines of the job cannot be read\n";
-  if (explanation.cut)
+  if (explanation.unreadable_lines > 0)
+    err << "warning: " << explanation.unreadable_lines
+        << " lines that name the job hold no valid JSON event\n";
+  if (explanation.truncated)
     err << "warning: only the first " << kMaxExplainedLines
         << " lines of the job were used\n";
-  return explanation.lines > 0 ? kCtlDone : kCtlRefused;
+  return explanation.matching_lines > 0 ? kCtlDone : kCtlRefused;
 }
 
 class Commands {
@@ -124,7 +125,7 @@
       : settings_(settings), out_(out), err_(err) {}
 
   int Run(const std::function<CtlIo(const CtlSettings&)>& connect) {
-    if (auto code = CheckForm())
+    if (auto code = CheckCommandLine())
       return *code;
     const std::string& command = settings_.command[0];
     if (command == "plan" || command == "apply") {
@@ -137,8 +138,8 @@
       io_ = connect(settings_);
       return Dispatch(command);
     } catch (const ConfigFormatError& error) {
-      err_ << "the store holds text that this program cannot read: "
-           << error.what() << "; use the version that wrote it\n";
+      err_ << "the store holds text that this program cannot decode: "
+           << error.what() << "; use the program version that wrote it\n";
     } catch (const ConfigUnavailableError& error) {
       err_ << error.what() << "; check --platform-address "
            << settings_.platform_address.str() << "\n";
@@ -150,28 +151,28 @@
   }
 
  private:
-  // An exit code if the command line has no valid command.
-  std::optional<int> CheckForm() {
+  // Returns an exit code if the command line has no valid command.
+  std::optional<int> CheckCommandLine() {
     if (settings_.command.empty()) {
       err_ << "no command; see --help\n";
       return kCtlUsage;
     }
-    for (const CommandForm& form : kCommands) {
-      if (settings_.command[0] != form.name)
+    for (const CommandSyntax& syntax : kCommands) {
+      if (settings_.command[0] != syntax.name)
         continue;
-      bool fits = settings_.command.size() == form.arguments + 1;
+      bool fits = settings_.command.size() == syntax.arguments + 1;
       if (settings_.command[0] == "show" && fits) {
         const std::string& what = settings_.command[1];
         fits = what == "pools" || what == "hosts" || what == "config";
       }
       if (fits)
         return std::nullopt;
-      err_ << "usage: radishmoorctl " << form.usage << "; see --help\n";
+      err_ << "usage: radishmoorctl " << syntax.usage << "; see --help\n";
       return kCtlUsage;
     }
     err_ << "unknown command; commands are";
-    for (const CommandForm& form : kCommands)
-      err_ << " " << form.name;
+    for (const CommandSyntax& syntax : kCommands)
+      err_ << " " << syntax.name;
     err_ << "\n";
     return kCtlUsage;
   }
@@ -179,7 +180,7 @@
   std::optional<int> ReadInventory(const std::string& path) {
     auto text = ReadFile(path);
     if (!text) {
-      err_ << path << ": cannot be read; check the path\n";
+      err_ << path << ": cannot read the file; check the path\n";
       return kCtlUsage;
     }
     InventoryResult result = ParseInventory(*text);
@@ -200,9 +201,9 @@
       });
     }
     if (command == "drain")
-      return Intend(HostIntent::kDrain);
+      return ApplyHostIntent(HostIntent::kDrain);
     if (command == "retire")
-      return Intend(HostIntent::kRetire);
+      return ApplyHostIntent(HostIntent::kRetire);
     if (command == "forget")
       return Forget(MemberId(settings_.command[1]));
     if (command == "jobs")
@@ -218,21 +219,21 @@
     return plan.refusals.empty() ? kCtlDone : kCtlRefused;
   }
 
-  int Intend(HostIntent intent) {
+  int ApplyHostIntent(HostIntent intent) {
     HostId host(settings_.command[1]);
     return Apply([host, intent](const FleetState& state) {
-      return PlanIntent(state, host, intent);
+      return PlanHostIntent(state, host, intent);
     });
   }
 
-  // Removes the row of a process that ended without removing it itself. Its
-  // zone's drains wait for that row otherwise.
+  // Removes the member row of a process that ended without removing it. While
+  // the row exists, drains in the process's zone wait for its acknowledgement.
   int Forget(const MemberId& member) {
     const std::string key = MemberKey(member);
     StoreReply read = io_.store(ReadRows{{key}});
     auto* rows = std::get_if<RowsReply>(&read);
     if (rows == nullptr || rows->rows.size() != 1)
-      throw ConfigUnavailableError("the row of the member cannot be read");
+      throw ConfigUnavailableError("cannot read the row of the member");
     RowVersion version = rows->rows[0].version;
     if (version == 0) {
       out_ << "No row of " << member.str() << "; nothing to do\n";
@@ -247,18 +248,21 @@
       return kCtlDone;
     }
     if (std::holds_alternative<ConflictReply>(reply)) {
-      err_
-          << member.str()
-          << ": its row changed just now, so the process runs; stop it first\n";
+      err_ << member.str()
+           << ": its row has just changed, so the process is running; stop it "
+              "first\n";
       return kCtlRefused;
     }
-    err_ << member.str() << ": no answer; check with status and repeat\n";
+    err_ << member.str()
+         << ": no answer from the store; run the status command and repeat "
+            "if the row is still listed\n";
     return std::holds_alternative<UnavailableReply>(reply) ? kCtlUnreachable
                                                            : kCtlUnknown;
   }
 
   int Apply(const Planner& planner) {
-    // An id fits into the setting "operation" and is not its 0.
+    // The id must be valid for the setting "operation": it is not 0 and fits
+    // into a signed 64-bit integer.
     constexpr uint64_t kMaxId = std::numeric_limits<int64_t>::max();
     OperationId operation =
         settings_.operation.value_or(OperationId{io_.random_id() % kMaxId + 1});
@@ -332,7 +336,7 @@
       err_ << outcome.reason << "; run the command again\n";
       return;
     } else {
-      err_ << "there is no state of --expect-version to compare with\n";
+      err_ << "there is no stored state of --expect-version to compare with\n";
     }
     err_ << "plan again and apply with --expect-version " << outcome.version
          << "\n";
@@ -425,7 +429,7 @@
     return kCtlDone;
   }
 
-  // Pools, queues and open jobs of one process of the job scheduler.
+  // Shows the pools, queues and open jobs of one scheduler process.
   int Jobs(const std::string& address) {
     std::optional<std::string> page = io_.fetch(address, "/pools");
     if (!page) {
@@ -445,7 +449,7 @@
                             : TimelineText(timeline));
     for (const std::string& warning : timeline.warnings)
       err_ << "warning: " << warning << "\n";
-    return timeline.any_source ? kCtlDone : kCtlUnreachable;
+    return timeline.any_source_read ? kCtlDone : kCtlUnreachable;
   }
 
   const CtlSettings& settings_;
@@ -464,13 +468,14 @@
            std::ostream& out,
            std::ostream& err) {
   for (int i = 1; i < argc; ++i) {
-    // docs/settings.md covers all programs.
+    // Prints the settings of all programs, from which docs/settings.md is
+    // generated.
     if (std::string_view(argv[i]) == "--settings-markdown") {
       out << SettingsPage();
       return kCtlDone;
     }
   }
-  // Reads files only, so it needs no settings.
+  // This command only reads a log file, so it works without the settings.
   if (argc == 4 && std::string_view(argv[1]) == "explain")
     return Explain(argv[2], argv[3], out, err);
   ParseResult parsed = CtlSettingsTable().Parse(argc, argv, environment);
--- a/radishmoor/ctl/ctl.h
+++ b/radishmoor/ctl/ctl.h
@@ -1,4 +1,4 @@
-// The operator's command line without its network layer.
+// radishmoorctl, the operator's command line, without its network layer.
 //
 //   int main(int argc, char** argv) {
 //     return RunCtl(argc, argv, environ,
@@ -6,8 +6,8 @@
 //                   std::cout, std::cerr);
 //   }
 //
-// Settings and the file are checked before `connect` is called, so a usage
-// error opens no socket.
+// RunCtl() checks the settings, the command line and the inventory file before
+// it calls `connect`, so that a usage error opens no connection.
 
 #ifndef RADISHMOOR_CTL_CTL_H_
 #define RADISHMOOR_CTL_CTL_H_
@@ -22,24 +22,27 @@
 
 namespace radishmoor {
 
+// Exit codes of the program.
 enum CtlExit : int {
   kCtlDone = 0,
-  kCtlRefused = 1,      // Also a conflict. Nothing was changed.
-  kCtlUsage = 2,        // Nothing was read or changed.
-  kCtlUnreachable = 3,  // Also a store that holds damaged text.
+  kCtlRefused = 1,      // Refused or in conflict. Nothing was changed.
+  kCtlUsage = 2,        // Usage error. Nothing was read or changed.
+  kCtlUnreachable = 3,  // The store was not reached or holds damaged text.
   kCtlUnknown = 4,      // The change may have taken effect.
 };
 
-// What the commands need from outside. Both calls block for at most the
-// setting timeout-ms.
+// Access to the store and to admin servers. Calls of `store` and `fetch` block
+// for at most the setting timeout-ms.
 struct CtlIo {
   StoreExecutor store;
   AdminFetcher fetch;
-  // A random id, used for a change if the operator names none.
+  // Returns a random id, from which a change gets its operation id if the
+  // operator gives none.
   std::function<uint64_t()> random_id;
 };
 
-// Returns the exit code. Results go to `out`, errors and warnings to `err`.
+// Runs one command and returns its exit code. Writes results to `out`, errors
+// and warnings to `err`.
 int RunCtl(int argc,
            const char* const* argv,
            const char* const* environment,
--- a/radishmoor/ctl/job_explanation.cc
+++ b/radishmoor/ctl/job_explanation.cc
@@ -60,8 +60,8 @@
   return text + "\n";
 }
 
-// Collects what the lines say and words the outcome.
-class Findings {
+// Collects the facts about one job from its log lines and words the conclusion.
+class JobFindings {
  public:
   void Add(const LogLine& line) {
     const json::object& f = line.fields;
@@ -102,10 +102,10 @@
     if (!failed_.empty()) {
       text += failed_ + "\n";
       text += failure_servers_.size() > 1
-                  ? "Its tasks failed on several servers, which speaks of the "
-                    "job.\n"
-                  : "Its tasks failed on one server; look for "
-                    "server-held-back lines of it.\n";
+                  ? "Its tasks failed on several servers, so the job itself is "
+                    "the likely cause.\n"
+                  : "Its tasks failed on one server; look for its "
+                    "server-held-back lines.\n";
     } else if (cancelled_) {
       text += "The job was cancelled.\n";
     } else if (completed_) {
@@ -119,7 +119,7 @@
       text += "The longest wait for a server was " +
               std::to_string(longest_wait_) + " ms, of task " + waited_task_ +
               "; the server had " + std::to_string(free_cpu_) +
-              " thousandths of a core left after its start.\n";
+              " thousandths of a core free after its start.\n";
     }
     if (longest_run_ > 0) {
       text += "The longest run took " + std::to_string(longest_run_) +
@@ -129,7 +129,8 @@
       if (reason != "done")
         text += std::to_string(count) + " runs ended as " + reason + ".\n";
     }
-    return text.empty() ? "Nothing can be said of the job.\n" : text;
+    return text.empty() ? "The logs do not show what happened to the job.\n"
+                        : text;
   }
 
  private:
@@ -165,18 +166,18 @@
 JobExplanation ExplainJob(std::string_view job, std::istream& logs) {
   JobExplanation result;
   std::vector<LogLine> lines;
-  // Of a job or of one of its tasks.
+  // Matches the id of the job and the ids of its tasks, which begin with it.
   std::string name = "\"" + std::string(job);
   std::string text;
   while (std::getline(logs, text)) {
     if (text.find(name) == std::string::npos)
       continue;
-    ++result.lines;
+    ++result.matching_lines;
     std::optional<LogLine> line = ParseLine(text);
     if (!line) {
-      ++result.unreadable;
+      ++result.unreadable_lines;
     } else if (lines.size() == kMaxExplainedLines) {
-      result.cut = true;
+      result.truncated = true;
     } else {
       lines.push_back(std::move(*line));
     }
@@ -184,7 +185,7 @@
   std::stable_sort(
       lines.begin(), lines.end(),
       [](const LogLine& a, const LogLine& b) { return a.time < b.time; });
-  Findings findings;
+  JobFindings findings;
   for (const LogLine& line : lines) {
     findings.Add(line);
     result.text += FormatLine(line);
--- a/radishmoor/ctl/job_explanation.h
+++ b/radishmoor/ctl/job_explanation.h
@@ -1,13 +1,13 @@
-// What the logs of the job scheduler's processes say of one job, in the order
-// of time, and what became of it and why.
+// Explains from the scheduler processes' logs what happened to one job and why.
 //
 //   std::ifstream logs("all-processes.log");
 //   JobExplanation explanation = ExplainJob("d6ed3325345ee648", logs);
 //   std::cout << explanation.text;
 //
-// The logs of all processes may be joined in any order; each line holds a JSON
-// object, with any text before it. Costs one pass, and memory for the job's own
-// lines, kMaxExplainedLines at most.
+// The logs of all processes may be concatenated in any order. Each line holds a
+// JSON object, which may follow other text. Cost: one pass over the logs,
+// memory for at most kMaxExplainedLines lines that name the job, and sorting
+// them.
 
 #ifndef RADISHMOOR_CTL_JOB_EXPLANATION_H_
 #define RADISHMOOR_CTL_JOB_EXPLANATION_H_
@@ -19,15 +19,17 @@
 
 namespace radishmoor {
 
+// Maximum number of lines of a job that are shown and evaluated.
 inline constexpr size_t kMaxExplainedLines = 20'000;
 
 struct JobExplanation {
-  size_t lines = 0;       // That name the job.
-  size_t unreadable = 0;  // Of these, without a JSON object.
-  bool cut = false;       // There were more lines than the limit.
-  std::string text;
+  size_t matching_lines = 0;    // Lines that name the job or one of its tasks.
+  size_t unreadable_lines = 0;  // Matching lines without a valid JSON event.
+  bool truncated = false;       // More than kMaxExplainedLines lines matched.
+  std::string text;             // The lines ordered by time, then a conclusion.
 };
 
+// `job` is the job id. Reads `logs` to the end.
 JobExplanation ExplainJob(std::string_view job, std::istream& logs);
 
 }  // namespace radishmoor
--- a/radishmoor/ctl/members.cc
+++ b/radishmoor/ctl/members.cc
@@ -12,7 +12,8 @@
 namespace json = boost::json;
 
 constexpr uint32_t kScanLimit = 1000;
-// Addresses of a member row: the first is for peers, the second for operators.
+// Index of the admin server's address in a member row; the first address is the
+// one for peers.
 constexpr size_t kAdminAddress = 1;
 
 MemberStatus Decode(const Row& row) {
@@ -20,7 +21,7 @@
   member.id = MemberId(row.key.substr(sizeof(kMemberPrefix) - 1));
   auto record = DecodeMember(row.value);
   if (!record) {
-    // One row of another format must not hide the others.
+    // A row of another format must not prevent the others from being shown.
     member.readable = false;
     return member;
   }
@@ -29,14 +30,15 @@
   member.zone = record->zone;
   if (record->addresses.size() > kAdminAddress)
     member.admin_address = record->addresses[kAdminAddress];
-  member.in_force = record->version;
+  member.version_in_force = record->version;
   for (const HostId& host : record->busy_hosts)
-    member.busy.push_back(host.str());
+    member.busy_hosts.push_back(host.str());
   return member;
 }
 
 std::string LagText(const MemberStatus& member, ConfigVersion head) {
-  return std::to_string(head > member.in_force ? head - member.in_force : 0);
+  return std::to_string(
+      head > member.version_in_force ? head - member.version_in_force : 0);
 }
 
 }  // namespace
@@ -48,7 +50,7 @@
     StoreReply reply = store(ScanRows{kMemberPrefix, after, kScanLimit});
     const auto* rows = std::get_if<RowsReply>(&reply);
     if (rows == nullptr)
-      throw ConfigUnavailableError("the rows of the members cannot be read");
+      throw ConfigUnavailableError("cannot read the member rows");
     for (const Row& row : rows->rows)
       members.push_back(Decode(row));
     if (rows->rows.size() < kScanLimit)
@@ -67,11 +69,12 @@
       continue;
     }
     std::string busy;
-    for (const std::string& host : m.busy)
+    for (const std::string& host : m.busy_hosts)
       busy += (busy.empty() ? "" : " ") + host;
     table.Add({m.id.str(), m.role, m.zone.str(),
-               std::to_string(m.incarnation.value), std::to_string(m.in_force),
-               LagText(m, head), busy, m.admin_address});
+               std::to_string(m.incarnation.value),
+               std::to_string(m.version_in_force), LagText(m, head), busy,
+               m.admin_address});
   }
   return "Accepted version: " + std::to_string(head) + "\n" + table.str();
 }
@@ -81,7 +84,7 @@
   json::array list;
   for (const MemberStatus& m : members) {
     json::array busy;
-    for (const std::string& host : m.busy)
+    for (const std::string& host : m.busy_hosts)
       busy.push_back(json::value(host));
     list.push_back(json::object{{"id", m.id.str()},
                                 {"readable", m.readable},
@@ -89,7 +92,7 @@
                                 {"role", m.role},
                                 {"zone", m.zone.str()},
                                 {"admin_address", m.admin_address},
-                                {"in_force", m.in_force},
+                                {"in_force", m.version_in_force},
                                 {"busy", busy}});
   }
   return json::serialize(json::object{{"version", head}, {"members", list}});
--- a/radishmoor/ctl/members.h
+++ b/radishmoor/ctl/members.h
@@ -1,4 +1,4 @@
-// The registered processes, as their rows member/<id> describe them.
+// The registered processes as their member rows describe them.
 
 #ifndef RADISHMOOR_CTL_MEMBERS_H_
 #define RADISHMOOR_CTL_MEMBERS_H_
@@ -18,17 +18,18 @@
   std::string role;
   ZoneId zone;
   std::string admin_address;
-  ConfigVersion in_force = 0;
-  std::vector<std::string> busy;  // Draining hosts with requests in flight.
-  bool readable = true;  // False: the row is not a JSON object as expected.
+  ConfigVersion version_in_force = 0;
+  // Draining hosts on which the process has requests in flight.
+  std::vector<std::string> busy_hosts;
+  bool readable = true;  // False if the row could not be decoded.
 };
 
-// All rows, ordered by id. A row that cannot be decoded has only its id.
-// Throws ConfigUnavailableError.
+// Reads all member rows, ordered by id. For a row that cannot be decoded, sets
+// only the id. Throws ConfigUnavailableError if the store does not answer.
 std::vector<MemberStatus> ReadMembers(const StoreExecutor& store);
 
-// `head` is the accepted version, for the number of versions that a process
-// lags behind.
+// Return the members as a table and as JSON. `head` is the accepted version;
+// the table shows how many versions each process is behind it.
 std::string MembersText(const std::vector<MemberStatus>& members,
                         ConfigVersion head);
 std::string MembersJson(const std::vector<MemberStatus>& members,
--- a/radishmoor/ctl/merged_timeline.cc
+++ b/radishmoor/ctl/merged_timeline.cc
@@ -16,11 +16,12 @@
 
 namespace json = boost::json;
 
-class Merger {
+class TimelineMerger {
  public:
-  explicit Merger(const TimelineFilter& filter) : filter_(filter) {}
+  explicit TimelineMerger(const TimelineFilter& filter) : filter_(filter) {}
 
-  // Adds the events of one text that `source` names in a warning.
+  // Adds the events of an encoded batch. If it cannot be decoded, adds a
+  // warning that names `source`.
   void Add(const std::string& text, const std::string& source) {
     try {
       TimelineBatch batch = DecodeTimeline(text);
@@ -37,7 +38,7 @@
     result_.warnings.push_back(std::move(warning));
   }
 
-  void MarkSource() { result_.any_source = true; }
+  void MarkSourceRead() { result_.any_source_read = true; }
 
   MergedTimeline Take() {
     for (const auto& [process, dropped] : dropped_) {
@@ -47,12 +48,12 @@
     }
     for (auto& [key, event] : events_)
       result_.events.push_back(std::move(event));
-    auto order = [](const MemberEvent& e) {
+    auto sort_key = [](const MemberEvent& e) {
       return std::tie(e.event.stamp, e.member, e.incarnation, e.event.sequence);
     };
     std::sort(result_.events.begin(), result_.events.end(),
               [&](const MemberEvent& a, const MemberEvent& b) {
-                return order(a) < order(b);
+                return sort_key(a) < sort_key(b);
               });
     return std::move(result_);
   }
@@ -74,20 +75,21 @@
   MergedTimeline result_;
 };
 
-// "timeline/<member>/..." -> "<member>".
+// Returns the member of an object key "timeline/<member>/...".
 std::string MemberOfKey(const std::string& key) {
   size_t start = sizeof(kTimelinePrefix) - 1;
   return key.substr(start, key.find('/', start) - start);
 }
 
-// The latest keys of each member; `skipped` counts the others.
+// Returns the kMaxBatchesPerMember latest keys of each member. Adds the number
+// of the other keys to `skipped`.
 std::vector<std::string> LatestKeys(std::vector<std::string> keys,
                                     size_t& skipped) {
   std::sort(keys.begin(), keys.end(), std::greater<>());
-  std::map<std::string, size_t> taken;
+  std::map<std::string, size_t> batches_by_member;
   std::vector<std::string> latest;
   for (std::string& key : keys) {
-    if (taken[MemberOfKey(key)]++ < kBatchesPerMember) {
+    if (batches_by_member[MemberOfKey(key)]++ < kMaxBatchesPerMember) {
       latest.push_back(std::move(key));
     } else {
       ++skipped;
@@ -96,14 +98,14 @@
   return latest;
 }
 
-void ReadBatches(const StoreExecutor& store, Merger& merger) {
+void ReadBatches(const StoreExecutor& store, TimelineMerger& merger) {
   StoreReply reply = store(ListObjects{kTimelinePrefix});
   const auto* list = std::get_if<ObjectListReply>(&reply);
   if (list == nullptr) {
     merger.Warn("object store: cannot be read; older events are missing");
     return;
   }
-  merger.MarkSource();
+  merger.MarkSourceRead();
   size_t skipped = 0;
   for (const std::string& key : LatestKeys(list->keys, skipped)) {
     StoreReply answer = store(ReadObject{key});
@@ -119,7 +121,7 @@
                 " older batches were not read");
 }
 
-// UTC time with milliseconds.
+// Returns the time in UTC with milliseconds.
 std::string WallText(WallMillis wall) {
   std::time_t seconds = wall / 1000;
   std::tm parts{};
@@ -142,13 +144,13 @@
                             const AdminFetcher& fetch,
                             const std::vector<MemberStatus>& members,
                             const TimelineFilter& filter) {
-  Merger merger(filter);
+  TimelineMerger merger(filter);
   for (const MemberStatus& member : members) {
     auto text = member.admin_address.empty()
                     ? std::nullopt
                     : fetch(member.admin_address, "/timeline");
     if (text) {
-      merger.MarkSource();
+      merger.MarkSourceRead();
       merger.Add(*text, member.id.str());
     } else {
       merger.Warn(member.id.str() +
@@ -176,7 +178,8 @@
 std::string TimelineJson(const MergedTimeline& timeline) {
   json::array events;
   for (const MemberEvent& m : timeline.events) {
-    // The batch codec keeps the form of events in one place.
+    // Encodes the event with the batch codec, which alone defines its JSON
+    // form.
     json::value batch =
         json::parse(EncodeTimeline({m.member, m.incarnation, 0, {m.event}}));
     json::object event = batch.at("events").at(0).as_object();
--- a/radishmoor/ctl/merged_timeline.h
+++ b/radishmoor/ctl/merged_timeline.h
@@ -1,6 +1,6 @@
-// Timeline events of all processes in one order: those still in the rings of
-// running processes and those in the object store, which also holds the events
-// of processes that have ended.
+// Merges the timeline events of all processes. Recent events are read from the
+// rings of running processes, others from the object store, which also holds
+// the events of processes that have ended.
 
 #ifndef RADISHMOOR_CTL_MERGED_TIMELINE_H_
 #define RADISHMOOR_CTL_MERGED_TIMELINE_H_
@@ -18,12 +18,13 @@
 
 namespace radishmoor {
 
-// GET `path` from an admin server; nothing if it cannot be reached or does not
-// answer with 200.
+// Sends GET `path` to an admin server and returns the body. Returns nullopt if
+// the server cannot be reached or does not answer with status 200.
 using AdminFetcher =
     std::function<std::optional<std::string>(const std::string& address,
                                              const std::string& path)>;
 
+// Selects events; an absent field selects all.
 struct TimelineFilter {
   std::optional<RequestId> request;
   std::optional<HostId> host;
@@ -36,18 +37,19 @@
 };
 
 struct MergedTimeline {
-  std::vector<MemberEvent> events;  // By hybrid time.
-  // What could not be read and may therefore be missing.
+  std::vector<MemberEvent> events;  // Ordered by hybrid time.
+  // Sources that could not be read and events that were lost.
   std::vector<std::string> warnings;
-  bool any_source = false;  // At least one ring or the object store was read.
+  // At least one ring or the list of the object store was read.
+  bool any_source_read = false;
 };
 
-// Batches read for each member, the latest ones. At one batch a second this is
-// the last five minutes; it bounds the memory and the reads.
-inline constexpr size_t kBatchesPerMember = 300;
+// Only this number of the latest batches is read for each member, to bound
+// memory and reads. At one batch a second this covers the last five minutes.
+inline constexpr size_t kMaxBatchesPerMember = 300;
 
-// Reads and merges. An event that is both in a ring and in a batch appears
-// once.
+// Reads and merges the events of all sources. An event that is both in a ring
+// and in a batch appears once. Sources that cannot be read become warnings.
 MergedTimeline ReadTimeline(const StoreExecutor& store,
                             const AdminFetcher& fetch,
                             const std::vector<MemberStatus>& members,
--- a/radishmoor/ctl/testing/job_explanation_test.cc
+++ b/radishmoor/ctl/testing/job_explanation_test.cc
@@ -11,13 +11,14 @@
   return ExplainJob("d6ed3325345ee648", stream).text;
 }
 
-bool Has(const std::string& text, std::string_view part) {
+bool Contains(const std::string& text, std::string_view part) {
   return text.find(part) != std::string::npos;
 }
 
-// Guards against lines of several processes that are read in the wrong order,
-// and against a late job whose wait is not named.
-TEST_CASE("a late job names its longest wait and run", "[explain]") {
+// Guards against log lines of several processes that are shown in the wrong
+// order and against an explanation without the longest wait.
+TEST_CASE("a late job's explanation names its longest wait and how runs ended",
+          "[explain]") {
   std::string text = Explain(
       R"(x {"time":"2026-01-01T00:00:09Z","event":"job-completed","job":"d6ed3325345ee648","took_ms":9000,"late_ms":1300}
 {"time":"2026-01-01T00:00:01Z","event":"job-stored","job":"d6ed3325345ee648"}
@@ -27,28 +28,29 @@
 )");
   REQUIRE(text.find("job-stored") < text.find("run-started"));
   REQUIRE(text.find("run-over") < text.find("job-completed"));
-  REQUIRE_FALSE(Has(text, "ffffffffffffffff"));
-  REQUIRE(Has(text, "1300 ms late"));
-  REQUIRE(Has(text, "629 ms, of task d6ed3325345ee648.0.0.1"));
-  REQUIRE(Has(text, "1 runs ended as lapsed"));
+  REQUIRE_FALSE(Contains(text, "ffffffffffffffff"));
+  REQUIRE(Contains(text, "1300 ms late"));
+  REQUIRE(Contains(text, "629 ms, of task d6ed3325345ee648.0.0.1"));
+  REQUIRE(Contains(text, "1 runs ended as lapsed"));
 }
 
-// Guards against a refusal that is told as final though another call of the job
+// Guards against presenting a refusal as final although another call of the job
 // was accepted.
-TEST_CASE("a refused job names the reason", "[explain]") {
+TEST_CASE("the explanation of a refused job names the reason", "[explain]") {
   std::string refused =
       R"({"time":"1","event":"call-refused","job":"d6ed3325345ee648","outcome":"not-accepted","reason":"store-lost","config":7}
 )";
-  REQUIRE(Has(Explain(refused), "not-accepted: store-lost"));
-  REQUIRE(Has(Explain(refused), "No line says that the job was stored"));
+  REQUIRE(Contains(Explain(refused), "not-accepted: store-lost"));
+  REQUIRE(Contains(Explain(refused), "No line says that the job was stored"));
   std::string stored =
       R"({"time":"2","event":"job-stored","job":"d6ed3325345ee648"}
 )";
-  REQUIRE(Has(Explain(refused + stored), "Another call"));
+  REQUIRE(Contains(Explain(refused + stored), "Another call"));
 }
 
-// Guards against a server's fault that is taken for the job's, and the reverse.
-TEST_CASE("a failed job names its servers", "[explain]") {
+// Guards against blaming the job for failures of one server, and the reverse.
+TEST_CASE("the explanation of a failed job says whether several servers failed",
+          "[explain]") {
   auto failure = [](const std::string& server) {
     return R"({"time":"1","event":"run-over","task":"d6ed3325345ee648.0.0.0","reason":"failed","server":")" +
            server + "\"}\n";
@@ -56,19 +58,20 @@
   std::string end =
       R"({"time":"2","event":"job-failed","job":"d6ed3325345ee648","task":"d6ed3325345ee648.0.0.0","failures":2,"limit":2}
 )";
-  REQUIRE(Has(Explain(failure("a") + failure("b") + end), "several servers"));
-  REQUIRE(Has(Explain(failure("a") + failure("a") + end), "one server"));
+  REQUIRE(
+      Contains(Explain(failure("a") + failure("b") + end), "several servers"));
+  REQUIRE(Contains(Explain(failure("a") + failure("a") + end), "one server"));
 }
 
-// Guards against damaged lines that end the reading.
-TEST_CASE("lines that cannot be read are counted", "[explain]") {
+// Guards against a damaged line that stops the reading.
+TEST_CASE("lines without valid JSON are counted", "[explain]") {
   std::istringstream logs(
       "\"d6ed3325345ee648 {\n{\"event\":\"job-stored\",\"job\":"
       "\"d6ed3325345ee648\"}\n");
   JobExplanation explanation = ExplainJob("d6ed3325345ee648", logs);
-  REQUIRE(explanation.lines == 2);
-  REQUIRE(explanation.unreadable == 1);
-  REQUIRE(Has(explanation.text, "No line shows the end"));
+  REQUIRE(explanation.matching_lines == 2);
+  REQUIRE(explanation.unreadable_lines == 1);
+  REQUIRE(Contains(explanation.text, "No line shows the end"));
 }
 
 }  // namespace
--- a/radishmoor/ctl/text_table.h
+++ b/radishmoor/ctl/text_table.h
@@ -1,4 +1,4 @@
-// Aligned columns of text for a terminal.
+// Text with aligned columns for a terminal.
 //
 //   TextTable table({"host", "pool"});
 //   table.Add({host.str(), pool.str()});
@@ -16,8 +16,9 @@
  public:
   explicit TextTable(std::vector<std::string> titles);
 
-  // `cells` has one cell for each title. An empty cell shows as "-"; control
-  // characters show as "?", since cells hold text that others wrote.
+  // Adds a row. Missing cells and empty cells show as "-". Control characters
+  // show as "?", because cells hold text from rows and files that may contain
+  // terminal escape codes.
   void Add(std::vector<std::string> cells);
 
   std::string str() const;
--- a/radishmoor/daemons/backend_main.cc
+++ b/radishmoor/daemons/backend_main.cc
@@ -1,4 +1,4 @@
-// radishmoor-backend: the backend server stand-in as a program.
+// radishmoor-backend: a stand-in for a backend server.
 
 #include <tclap/CmdLine.h>
 
--- a/radishmoor/daemons/control_main.cc
+++ b/radishmoor/daemons/control_main.cc
@@ -1,4 +1,5 @@
-// radishmoor-control: inventory, maintenance and moves.
+// radishmoor-control: the control process, which carries out moves, maintenance
+// and retirement of hosts.
 
 #include <unistd.h>
 
--- a/radishmoor/daemons/ctl_main.cc
+++ b/radishmoor/daemons/ctl_main.cc
@@ -17,7 +17,7 @@
 namespace radishmoor {
 namespace {
 
-// Network access for commands, which run one request after the other.
+// Blocking network access for commands, which send one request at a time.
 struct Connection {
   explicit Connection(const CtlSettings& settings)
       : timeout(settings.timeout),
--- a/radishmoor/daemons/entry_main.cc
+++ b/radishmoor/daemons/entry_main.cc
@@ -1,4 +1,5 @@
-// radishmoor-entry: the data path of an entry host.
+// radishmoor-entry: the entry process, which forwards callers' requests to
+// backend servers.
 
 #include <unistd.h>
 
--- a/radishmoor/daemons/load_main.cc
+++ b/radishmoor/daemons/load_main.cc
@@ -1,5 +1,6 @@
-// radishmoor-load: sends mixed load, prints a table, and checks the history
-// against the execution logs of the backend server stand-ins.
+// radishmoor-load: sends short, long, idempotent and non-idempotent calls,
+// prints a table of results, and checks the calls against the execution logs of
+// the backend server stand-ins.
 
 #include <tclap/CmdLine.h>
 
--- a/radishmoor/daemons/loadrun_main.cc
+++ b/radishmoor/daemons/loadrun_main.cc
@@ -1,6 +1,7 @@
-// radishmoor-loadrun: closed-loop load in alternating blocks, straight to a
-// backend server and through an entry process, and the entry process's
-// processor time and memory. tools/load_run starts the processes.
+// radishmoor-loadrun: sends closed-loop load in alternating blocks, directly to
+// a backend server and through an entry process. Reports the rates and
+// latencies of both and the entry process's processor time and memory.
+// tools/load_run starts the processes.
 
 #include <tclap/CmdLine.h>
 #include <unistd.h>
@@ -21,6 +22,7 @@
 namespace radishmoor {
 namespace {
 
+// Results of one or more blocks of calls.
 struct Sample {
   std::vector<int64_t> latencies_us;
   uint64_t failed = 0;
@@ -46,7 +48,7 @@
   }
 };
 
-// Keeps one request in flight on each of a number of connections.
+// Keeps one request in flight on each of its connections.
 class ClosedLoop {
  public:
   ClosedLoop(EventLoop& loop, Endpoint target, const std::string& service)
@@ -109,7 +111,8 @@
   Sample sample_;
 };
 
-// Processor seconds that a process has used (proc(5), fields 14 and 15).
+// Returns the processor seconds that a process has used in user and kernel mode
+// (fields 14 and 15 of proc(5)'s /proc/<pid>/stat).
 double CpuSeconds(int pid) {
   std::ifstream in("/proc/" + std::to_string(pid) + "/stat");
   std::string line;
@@ -133,7 +136,8 @@
   return 0;
 }
 
-// Opens idle connections a few at a time, so that no listen queue overflows.
+// Opens idle connections, at most 64 at a time so that no listen queue
+// overflows.
 class IdleConnections {
  public:
   IdleConnections(EventLoop& loop, Endpoint target, uint64_t count)
@@ -149,7 +153,8 @@
              .on_exchange_failed = [](ConnectionId, const std::string&) {},
              .on_closed = [this](ConnectionId) { --open_; }}) {}
 
-  // Returns the connections that are open one second after the last opened.
+  // Opens the connections and returns how many are still open one second after
+  // the last one was opened or failed.
   uint64_t Open() {
     for (uint64_t i = 0; i < std::min<uint64_t>(count_, 64); ++i)
       OpenNext();
@@ -190,55 +195,57 @@
 
 boost::json::object RunBlocks(const RunOptions& options, int connections) {
   Sample direct;
-  Sample through;
-  double cpu = 0;
+  Sample via_entry;
+  double cpu_seconds = 0;
   for (int block = 0; block < options.blocks; ++block) {
     EventLoop loop;
     direct.Add(ClosedLoop(loop, options.backend, options.service)
                    .Run(connections, options.block_length));
-    double before = CpuSeconds(options.entry_pid);
-    through.Add(ClosedLoop(loop, options.entry, options.service)
-                    .Run(connections, options.block_length));
-    cpu += CpuSeconds(options.entry_pid) - before;
+    double cpu_before = CpuSeconds(options.entry_pid);
+    via_entry.Add(ClosedLoop(loop, options.entry, options.service)
+                      .Run(connections, options.block_length));
+    cpu_seconds += CpuSeconds(options.entry_pid) - cpu_before;
   }
-  double d50 = direct.PercentileMs(0.5);
-  double d99 = direct.PercentileMs(0.99);
-  double t50 = through.PercentileMs(0.5);
-  double t99 = through.PercentileMs(0.99);
-  auto answered = static_cast<double>(through.latencies_us.size());
-  double cpu_us = cpu * 1e6 / answered;
+  double direct_p50 = direct.PercentileMs(0.5);
+  double direct_p99 = direct.PercentileMs(0.99);
+  double entry_p50 = via_entry.PercentileMs(0.5);
+  double entry_p99 = via_entry.PercentileMs(0.99);
+  auto answered = static_cast<double>(via_entry.latencies_us.size());
+  double cpu_us = cpu_seconds * 1e6 / answered;
   std::printf(
       "%5d %9.0f %9.0f %7.3f %7.3f %7.3f %7.3f %7.3f %7.3f %8.1f %6.2f %9.0f "
       "%6lu %6lu\n",
-      connections, direct.rate(), through.rate(), d50, t50, t50 - d50, d99, t99,
-      t99 - d99, cpu_us, cpu / through.seconds, 1e6 / cpu_us,
+      connections, direct.rate(), via_entry.rate(), direct_p50, entry_p50,
+      entry_p50 - direct_p50, direct_p99, entry_p99, entry_p99 - direct_p99,
+      cpu_us, cpu_seconds / via_entry.seconds, 1e6 / cpu_us,
       static_cast<unsigned long>(direct.failed),
-      static_cast<unsigned long>(through.failed));
+      static_cast<unsigned long>(via_entry.failed));
   return {{"connections", connections},
           {"direct_per_s", direct.rate()},
-          {"entry_per_s", through.rate()},
-          {"direct_p50_ms", d50},
-          {"entry_p50_ms", t50},
-          {"added_p50_ms", t50 - d50},
-          {"direct_p99_ms", d99},
-          {"entry_p99_ms", t99},
-          {"added_p99_ms", t99 - d99},
+          {"entry_per_s", via_entry.rate()},
+          {"direct_p50_ms", direct_p50},
+          {"entry_p50_ms", entry_p50},
+          {"added_p50_ms", entry_p50 - direct_p50},
+          {"direct_p99_ms", direct_p99},
+          {"entry_p99_ms", entry_p99},
+          {"added_p99_ms", entry_p99 - direct_p99},
           {"entry_cpu_us_per_request", cpu_us},
-          {"entry_cores", cpu / through.seconds},
+          {"entry_cores", cpu_seconds / via_entry.seconds},
           {"entry_per_core_s", 1e6 / cpu_us},
           {"direct_failed", direct.failed},
-          {"entry_failed", through.failed}};
+          {"entry_failed", via_entry.failed}};
 }
 
 boost::json::object RunIdle(const RunOptions& options) {
   EventLoop loop;
-  double rest = ResidentMb(options.entry_pid);
+  double mb_before = ResidentMb(options.entry_pid);
   IdleConnections idle(loop, options.entry, options.idle);
   uint64_t open = idle.Open();
-  double with_idle = ResidentMb(options.entry_pid);
+  double mb_with_idle = ResidentMb(options.entry_pid);
   std::printf("resident memory %.1f MB, with %lu idle connections %.1f MB\n",
-              rest, static_cast<unsigned long>(open), with_idle);
-  return {{"rest_mb", rest}, {"idle_open", open}, {"idle_mb", with_idle}};
+              mb_before, static_cast<unsigned long>(open), mb_with_idle);
+  return {
+      {"rest_mb", mb_before}, {"idle_open", open}, {"idle_mb", mb_with_idle}};
 }
 
 }  // namespace
--- a/radishmoor/daemons/platform_main.cc
+++ b/radishmoor/daemons/platform_main.cc
@@ -1,4 +1,4 @@
-// radishmoor-platform: the platform stand-in as a program.
+// radishmoor-platform: a stand-in for the platform's services.
 
 #include <tclap/CmdLine.h>
 
--- a/radishmoor/daemons/relay_main.cc
+++ b/radishmoor/daemons/relay_main.cc
@@ -1,4 +1,5 @@
-// radishmoor-relay: the load balancer stand-in as a program.
+// radishmoor-relay: a stand-in for the load balancer, which relays TCP
+// connections to entry hosts.
 
 #include <tclap/CmdLine.h>
 
