--- a/radishmoor/jobs/commit_chain.cc
+++ b/radishmoor/jobs/commit_chain.cc
@@ -99,7 +99,7 @@
   lease.token = state_.token;
   lease.sequence = commit.sequence;
   // The lease is released only when few jobs have changes left to store, so
-  // that this commit has room for them.
+  // that this commit can hold them.
   commit.released = releasing_ && state_.jobs.dirty().size() < kMaxEntries / 2;
   lease.released = commit.released;
   lease.successor = successor_;
--- a/radishmoor/jobs/commit_chain.h
+++ b/radishmoor/jobs/commit_chain.h
@@ -32,7 +32,7 @@
     MemberId node;        // Name of this scheduler process.
     std::string address;  // Address of this process for its peers.
     RowVersion lease_version = 0;
-    // The leases that earlier owners gave to backend servers have expired by
+    // The leases that earlier owners granted to backend servers have expired by
     // this time.
     Time earlier_leases_until;
   };
@@ -63,7 +63,7 @@
   // later write of the same key replaces an earlier one that is not stored yet.
   void Write(RowWrite write);
 
-  // Releases the lease with the first commit that has room for all changes, and
+  // Releases the lease with the first commit that can hold all changes, and
   // names `successor` as the process that should acquire it.
   void Release(const MemberId& successor);
   bool released() const { return released_; }
@@ -73,7 +73,7 @@
   // Returns true if another process has acquired the lease.
   bool lost() const { return lost_; }
 
-  // When the commit was sent that last renewed the lease.
+  // Returns when the commit that last renewed the lease was sent.
   Time renewed() const { return renewed_; }
   void set_renewed(Time at) { renewed_ = at; }
   // Returns a heartbeat with the fields that describe the lease; the others are
--- a/radishmoor/jobs/fleet_coordinator.cc
+++ b/radishmoor/jobs/fleet_coordinator.cc
@@ -15,8 +15,8 @@
 // A host that cannot be emptied for maintenance within this time is postponed,
 // so that other hosts of the wave can be emptied instead.
 constexpr Duration kMaintenanceEmptyingLimit = Seconds(9);
-// The row of a finished call is kept for the minimum time between two owners of
-// a host's operations, plus this margin for the answer to the call.
+// The row of a finished call is kept for PlatformBounds::host_operation_lease
+// plus this margin for the answer to the call.
 constexpr Duration kRowRemovalMargin = Seconds(2);
 constexpr Duration kPostponement = Seconds(3);
 // Interval between requests to keep a server empty while its host is being
--- a/radishmoor/jobs/fleet_coordinator.h
+++ b/radishmoor/jobs/fleet_coordinator.h
@@ -96,7 +96,7 @@
             Outbox& outbox);
   Time next_wake() const { return next_wake_; }
 
-  // Gives up the fleet lease with the next commit.
+  // Releases the fleet lease with the next commit, in favor of `successor`.
   void Release(const MemberId& successor) { chain_.Release(successor); }
   bool released() const { return chain_.released(); }
   // Returns true once another process holds the lease or the platform has
--- a/radishmoor/jobs/fleet_sizing.cc
+++ b/radishmoor/jobs/fleet_sizing.cc
@@ -10,7 +10,8 @@
 constexpr double kUsableCoreShare = 0.8;
 // Time from the decision to move a host until it serves its new pool.
 constexpr double kMoveLeadSeconds = 1.8;
-// Hosts for a predicted peak must first be emptied in another pool.
+// Hosts are requested this long before a predicted peak, because they must
+// first be emptied in another pool.
 constexpr Duration kForecastLead = Milliseconds(1800);
 // A pool gives hosts to standby only if it did not need them for this long.
 constexpr Duration kSurplusWindow = Milliseconds(1700);
@@ -27,7 +28,7 @@
 constexpr double kMaxRiseShare = 0.5;
 // A pool keeps at least this many hosts for the first jobs of a peak.
 constexpr uint32_t kMinHostsPerPool = 4;
-// A sample that follows the one before after a longer gap gives no slope.
+// No slope is computed from two samples that are further apart than this.
 constexpr double kMaxSampleGapSeconds = 1.0;
 
 }  // namespace
@@ -127,7 +128,7 @@
                    });
   std::vector<HostMoves> moves;
   for (Balance& receiver : balances) {
-    // Standby pools give in the first round, other pools in the second.
+    // Standby pools give hosts in the first round, other pools in the second.
     for (int round = 0; round < 2; ++round) {
       for (Balance& giver : balances) {
         bool giver_in_round = giver.pool->standby == (round == 0);
--- a/radishmoor/jobs/fleet_sizing.h
+++ b/radishmoor/jobs/fleet_sizing.h
@@ -39,11 +39,11 @@
   // Hosts that serve the pool or are moving to it. `silent_hosts` and
   // `leaving_hosts` are included, `arriving_hosts` are not.
   uint32_t hosts = 0;
-  uint32_t silent_hosts = 0;    // Hosts that do not answer the pool's owner.
-  uint32_t leaving_hosts = 0;   // Hosts being emptied for a move away.
-  uint32_t arriving_hosts = 0;  // Hosts of other pools being emptied for a move
-                                // to this pool.
-  uint32_t min_hosts = 0;       // Hosts that long-running tasks need.
+  uint32_t silent_hosts = 0;   // Hosts that do not answer the pool's owner.
+  uint32_t leaving_hosts = 0;  // Hosts being emptied for a move away.
+  // Hosts of other pools being emptied for a move to this pool.
+  uint32_t arriving_hosts = 0;
+  uint32_t min_hosts = 0;  // Hosts that long-running tasks need.
   // Hosts that can be emptied soon because they run little or nothing. For a
   // standby pool this includes hosts that are being emptied to move there.
   uint32_t spare_hosts = 0;
--- a/radishmoor/jobs/job.h
+++ b/radishmoor/jobs/job.h
@@ -203,8 +203,8 @@
 // A queue as the configuration describes it.
 struct QueueConfig {
   QueueId id;
-  // Requests for this host whose path begins with the prefix belong to the
-  // queue. The prefix begins and ends with '/'.
+  // HTTP requests to this host name whose path begins with the prefix belong to
+  // the queue. The prefix begins and ends with '/'.
   std::string host;
   std::string path_prefix;
   PoolId pool;
@@ -261,7 +261,7 @@
   bool draining = false;
   // Unix time in ms at which this incarnation started; 0: not known.
   WallMillis incarnation_started_at = 0;
-  // While draining: the server stays at least this long.
+  // Minimum time for which a draining server still stays.
   Duration remaining{};
 };
 
@@ -269,7 +269,8 @@
 struct MaintenanceWave {
   uint64_t number = 0;
   std::vector<HostId> hosts;
-  Duration length{};  // Time for the whole wave, from when it is first seen.
+  // Time allowed for the whole wave, counted from when it is first seen.
+  Duration length{};
   uint32_t max_at_once = 1;  // Maximum number of hosts in maintenance at once.
 };
 
--- a/radishmoor/jobs/job_request_handler.cc
+++ b/radishmoor/jobs/job_request_handler.cc
@@ -20,17 +20,18 @@
 // A submission is handed over to the pool's owner only if the owner's last
 // heartbeat and its last lease renewal are not older than this. The second
 // limit is longer because a renewal takes a second or more while the store is
-// slow. In that state handing over is still better: the owner stores all
-// gathered jobs with each commit, and separate inserts would delay its commits.
+// slow. Handing over is still better then: the owner stores all jobs that it
+// has received with each commit, and separate inserts would delay its commits.
 constexpr Duration kMaxHandOverHeartbeatAge = Milliseconds(800);
 constexpr Duration kMaxUnrenewedTime = Milliseconds(3000);
 constexpr Duration kStoreTimeout = Milliseconds(500);
 constexpr Duration kStoreRetryDelay = Milliseconds(60);
 // An owner with an older heartbeat is not asked about jobs. Queue lengths are
-// answered only if the heartbeat and the lease renewal together are not older.
+// answered only if the age of the heartbeat plus its `renewed_age` is less than
+// this.
 constexpr Duration kMaxHeartbeatAge = Milliseconds(1800);
 // Times after which a refused caller should repeat its call. A store that is
-// lost usually stays away for some seconds.
+// lost usually stays unavailable for some seconds.
 constexpr Duration kUnavailableRetryAfter = Seconds(1);
 constexpr Duration kStoreLostRetryAfter = Seconds(2);
 // For this long after a queue has moved to another pool, a submission may be a
--- a/radishmoor/jobs/job_request_handler.h
+++ b/radishmoor/jobs/job_request_handler.h
@@ -70,8 +70,9 @@
     uint64_t refused = 0;   // All refusals, the uncertain ones included.
     // Submissions refused as uncertain because the store did not answer.
     uint64_t uncertain = 0;
-    uint64_t states = 0;
-    uint64_t states_from_store = 0;  // Reads and cancellations.
+    uint64_t states = 0;  // Reads answered with a job's state.
+    // Reads and cancellations whose job was found in the store.
+    uint64_t states_from_store = 0;
     uint64_t cancelled = 0;
     uint64_t unknown_queue = 0;
   };
--- a/radishmoor/jobs/job_rows.h
+++ b/radishmoor/jobs/job_rows.h
@@ -6,7 +6,7 @@
 //   inbox/<pool>/c:<job>   cancellation that the owner has not read yet
 //   owner/<pool>/lease     lease of the pool's owner; every commit of the owner
 //                          expects and rewrites it, which makes a commit chain
-//   nodes//<node>          scheduler processes
+//   nodes//<node>          a scheduler process
 //   duties/<pool>/<host>   host operation whose call to the host API may be in
 //                          progress
 //   duties/<pool>/w<wave>:<host>  host whose maintenance in a wave is done
@@ -88,8 +88,8 @@
   bool released = false;
   // If `released`: the process that should acquire the lease; empty for any.
   MemberId successor;
-  // How long after this row was written leases of backend servers may last that
-  // were granted by owners before the holder.
+  // Leases that owners before the holder granted to backend servers may last
+  // this long after the row was written.
   Duration earlier_leases_remaining{};
   // The store's clock when the holder sent the row, or somewhat earlier. Zero
   // if the holder did not know it.
--- a/radishmoor/jobs/job_table.h
+++ b/radishmoor/jobs/job_table.h
@@ -1,6 +1,5 @@
 // The jobs of one pool, their tasks and the runs of each task, as the pool's
-// owner knows them. The progress of a job that is stored is built from this
-// table.
+// owner knows them. The stored progress of a job is built from this table.
 //
 // The table implements the changes of state; the scheduler decides when they
 // happen. Jobs, tasks and runs are addressed by ids. Pointers to jobs stay
@@ -27,10 +26,10 @@
 namespace radishmoor {
 
 enum class RunPhase : uint8_t {
-  kPlanned,    // A server is chosen. The start is not sent before it is stored.
-  kOrdered,    // The start was sent and is not answered yet.
-  kUncertain,  // The start may have been carried out or may be carried out
-               // later.
+  kPlanned,  // A server is chosen. The start is sent once the plan is stored.
+  kOrdered,  // The start was sent and is not answered yet.
+  // The start may have been carried out or may be carried out later.
+  kUncertain,
   kInherited,  // An earlier owner stored the run. It may be running.
   kRunning,
 };
@@ -53,7 +52,7 @@
   bool counted_slow = false;
 
   bool stop_wanted = false;
-  uint64_t stop_tag = 0;           // Tag of the stop under way; 0: none.
+  uint64_t stop_tag = 0;           // Tag of the stop in flight; 0: none.
   std::optional<Time> stopped_at;  // When the server answered the stop.
   // Sequence number of the commit that stores the plan of this run; 0: no
   // commit has been sent with it. The start is sent when that commit is stored.
@@ -71,7 +70,8 @@
   // When the task was created or lost its last run.
   Time ready_since;
   std::vector<ServerId> failed_on;
-  // For a task of a long-running step that is not available: since when.
+  // Since when this task of a long-running step has not been available; absent
+  // while the task is available, and for other steps.
   std::optional<Time> unavailable_since;
   // The scheduler stopped the last run of this long-running task, and the task
   // is not available again yet.
@@ -168,8 +168,8 @@
                       const Occurrence& occurrence,
                       const Task& task);
 
-  // Marks a task as done. If it was the last one of its occurrence or job, that
-  // one ends too.
+  // Marks a task as done. Also ends its occurrence, and its job, if all of
+  // their tasks are done.
   void MarkDone(Job& job, Occurrence& occurrence, Task& task, Time now);
   // Ends a job before its tasks are done. Does nothing if it has ended already.
   void MarkEnded(Job& job, JobState state, Time now);
--- a/radishmoor/jobs/messages.h
+++ b/radishmoor/jobs/messages.h
@@ -56,10 +56,10 @@
   Duration wait{};
 };
 
-// Orders a backend server to run a best-effort run at this share of its full
-// speed, in percent. If several orders are under way, the server keeps the
-// share of the one that it carries out last. A lost or late order leaves
-// another share in force until the owner sends the next one.
+// Orders a backend server to run a best-effort run at this pace, in percent of
+// its full speed. If several orders are in flight, the pace of the one that the
+// server carries out last stays in force. A lost or late order leaves another
+// pace in force until the owner sends the next one.
 struct PaceRun {
   TaskId task;
   RunNumber run = 0;
@@ -81,11 +81,11 @@
 enum class OrderOutcome : uint8_t {
   kDone,
   kFenced,    // The server saw a higher token: another process owns the pool.
-  kStaleRun,  // The server had the same or a higher run of the task before.
+  kStaleRun,  // The server already had this run or a later one of the task.
   kTooLate,   // The lease that the order names has expired.
   kNoRoom,
   kBadTicket,
-  kRefused,    // The order is malformed for the server.
+  kRefused,    // The server found the order malformed.
   kUnhealthy,  // The server was overloaded or unavailable; it did nothing.
   kOtherIncarnation,  // Another backend server is at this address.
   kNotSent,           // There was no connection; the server did not get it.
@@ -335,7 +335,7 @@
 enum class VacateState : uint8_t {
   kEmptying,
   // The server has no runs, and the owner starts none on it for
-  // kVacateRequestLifetime after this answer.
+  // kVacateRequestLifetime (see pool_scheduler.cc) after this answer.
   kEmpty,
   kUnknownServer,
 };
@@ -384,7 +384,7 @@
 struct JobCall {
   JobCallId id = 0;
   Time arrived;
-  std::optional<Duration> time_limit;  // Set by the caller, if at all.
+  std::optional<Duration> time_limit;  // Absent if the caller set none.
   JobCallRequest request;
 };
 
--- a/radishmoor/jobs/node_core.cc
+++ b/radishmoor/jobs/node_core.cc
@@ -6,24 +6,24 @@
 namespace radishmoor {
 namespace {
 
-// The store delays its answer by up to this time if nothing has changed. Kept
-// short so that a connection without answers is noticed soon.
+// If operators have changed nothing, the store delays its answer by up to this
+// time, which is short so that a connection without answers is noticed soon.
 constexpr Duration kOperatorWatchWait = Milliseconds(450);
 // The configuration and all waves are read in full this often, in case a change
 // was missed.
 constexpr Duration kFullOperatorReadPeriod = Seconds(5);
 constexpr Duration kOperatorWatchRetryDelay = Milliseconds(150);
 constexpr Duration kOwnerHeartbeatPeriod = Milliseconds(300);
-// A pool's heartbeat is sent to the fleet coordinator out of turn if its demand
-// exceeds the last announced one by this factor plus this number of cores, at
-// most once per interval.
+// An extra heartbeat of a pool is sent to the fleet coordinator if the pool's
+// demand exceeds the last announced one by this factor plus this number of
+// cores, at most once per interval.
 constexpr double kDemandRiseFactor = 1.25;
 constexpr double kDemandRiseCores = 24;
 constexpr Duration kMinDemandRiseInterval = Milliseconds(60);
 constexpr Duration kRegistrationPeriod = Seconds(15);
 constexpr Duration kRegistrationRetryDelay = Milliseconds(300);
 constexpr Duration kNodeScanPeriod = Seconds(4);
-// Used until a second process is known.
+// Period of the scans until a second process is known.
 constexpr Duration kFirstNodeScanPeriod = Milliseconds(500);
 // A process whose row has not changed for this long counts as gone.
 constexpr Duration kNodeExpiry = Seconds(40);
@@ -32,7 +32,7 @@
 // A list of many servers is long, so the period grows with their number.
 constexpr Duration kServerListPeriodPerServer = Milliseconds(3);
 constexpr Duration kMaxServerListPeriod = Milliseconds(1200);
-// Used while a pool expects additional servers, so that their arrival is
+// Period while a pool expects additional servers, so that their arrival is
 // noticed soon.
 constexpr Duration kShortageServerListPeriod = Milliseconds(300);
 constexpr Duration kMinFleetTickInterval = Milliseconds(20);
--- a/radishmoor/jobs/node_core.h
+++ b/radishmoor/jobs/node_core.h
@@ -1,6 +1,6 @@
 // The state machine of one scheduler process, without input and output. Handles
-// callers' requests, and runs the scheduler of each pool, and the fleet
-// coordinator, whose lease the process has acquired.
+// callers' requests, runs a scheduler for each pool whose lease the process has
+// acquired, and runs the fleet coordinator if it has acquired the fleet lease.
 //
 //   NodeCore core(options);
 //   core.Start(now, wall);
@@ -101,11 +101,11 @@
                            const JobPeerMessage& message);
   // Dispatches the messages that this process has sent to itself.
   void DeliverLocalMessages(Time now);
-  // Starts the pool schedulers, and the fleet coordinator, whose leases were
-  // acquired.
+  // Starts a scheduler for each pool whose lease was acquired, and the fleet
+  // coordinator if the fleet lease was acquired.
   void StartAcquiredPools(Time now);
-  // Removes schedulers, and the fleet coordinator, whose leases were lost or
-  // released.
+  // Removes the schedulers of pools whose leases were lost or released, and the
+  // fleet coordinator if the fleet lease was.
   void RemoveLostPools(Time now);
   void SendOwnerHeartbeats(Time now);
   void BroadcastHeartbeat(Time now, const OwnerHeartbeat& heartbeat);
@@ -113,7 +113,7 @@
   // Sends the fleet coordinator an extra heartbeat of each pool whose demand
   // has risen considerably since its last heartbeat.
   void SendDemandRises(Time now);
-  // Returns whether the next request of a periodic kind can be sent: the
+  // Returns whether the next of a series of periodic requests can be sent: the
   // previous one was answered (`tag` is 0) and the time `at` has come. Before
   // `at`, schedules a wake-up for it.
   bool IsDue(Time now, uint64_t tag, Time at);
@@ -163,7 +163,7 @@
   Time next_host_list_;
   Time last_fleet_tick_;
   Time next_owner_heartbeat_;
-  // Demand of a pool as the last heartbeat to the fleet coordinator had it.
+  // Demand of a pool in its last heartbeat to the fleet coordinator.
   struct AnnouncedDemand {
     double cores = 0;
     Time at;
--- a/radishmoor/jobs/offered_load.h
+++ b/radishmoor/jobs/offered_load.h
@@ -5,8 +5,8 @@
 //   load.Cores(now);
 //
 // Designed for the first moments of a peak: running and waiting tasks show a
-// peak only as fast as they pile up, but the rate of arrivals shows it with the
-// first jobs. A rate that is computed from few jobs is uncertain, so the
+// peak only as fast as they accumulate, but the rate of arrivals shows it with
+// the first jobs. A rate that is computed from few jobs is uncertain, so the
 // estimate is reduced by its standard error.
 
 #ifndef RADISHMOOR_JOBS_OFFERED_LOAD_H_
--- a/radishmoor/jobs/peak_forecast.cc
+++ b/radishmoor/jobs/peak_forecast.cc
@@ -14,7 +14,8 @@
 constexpr double kMinPeakHosts = 3;
 constexpr double kPeakBeginShare = 0.4;
 constexpr double kPeakEndShare = 0.25;
-// Enough for several rotations over a few pools.
+// Number of peaks that are remembered; enough for several rotations over a few
+// pools.
 constexpr size_t kMaxRecordedPeaks = 24;
 // Peaks are regular if at least kMinIntervals intervals are known and the
 // latest ones, up to kMaxIntervals, differ from their median by at most this
--- a/radishmoor/jobs/placement.cc
+++ b/radishmoor/jobs/placement.cc
@@ -8,8 +8,8 @@
 namespace {
 
 // The penalty of a server is the free share of its cores, between 0 and 1, plus
-// these terms.
-//
+// terms with the weights from kRemoteDataWeight to kLongRunningBonus.
+
 // Multiplied by remote_data_slowdown - 1 if the server is away from the data.
 constexpr double kRemoteDataWeight = 2.0;
 // Multiplied by the server's slowness - 1.
--- a/radishmoor/jobs/pool_leases.h
+++ b/radishmoor/jobs/pool_leases.h
@@ -41,8 +41,8 @@
   bool was_released = false;  // The previous owner released the lease.
   // The previous owner sent its last renewal before this time.
   Time last_renewed_before;
-  // How long after last_renewed_before server leases may last that were granted
-  // by owners before the previous one.
+  // Leases that owners before the previous one granted to backend servers may
+  // last this long after `last_renewed_before`.
   Duration earlier_leases_remaining{};
 };
 
@@ -100,7 +100,7 @@
     // Since when `version` has not changed.
     Time unchanged_since;
     // The owner has not renewed the row since this time, computed from the
-    // store's clock that the owner wrote into the row. At or before
+    // store's clock that the owner wrote into the row. Never later than
     // `unchanged_since`.
     Time renewed_at;
     // The store's clock in the answer to the last read, and the local time of
@@ -109,10 +109,10 @@
     Time store_clock_at;
     Time watched_since;
     Time next_read;
-    // After a store outage the owner can renew its lease again from the time
-    // on at which this process can read again. The first successful read after
-    // failed ones therefore sets `hold_until`, and the lease is not acquired
-    // before that.
+    // An owner that could not renew its lease during a store outage can do so
+    // again as soon as this process can read the row again. To leave the owner
+    // time for that, the first successful read after failed ones sets
+    // `hold_until`, and the lease is not acquired before that time.
     bool read_failed = false;
     Time hold_until;
     uint64_t read_tag = 0;  // 0: no read is in flight.
@@ -126,7 +126,8 @@
     bool acquire_was_released = false;
     Time acquire_renewed_before;
     Duration acquire_earlier_leases_remaining{};
-    // The lease is not acquired earlier if it was released or has no row yet.
+    // A lease that was released or has no row yet is not acquired before this
+    // time.
     Time acquire_not_before;
   };
 
--- a/radishmoor/jobs/pool_scheduler.h
+++ b/radishmoor/jobs/pool_scheduler.h
@@ -46,7 +46,7 @@
   FencingToken token = 0;
   RowVersion lease_version = 0;
   Time lease_taken_at;
-  // All leases that earlier owners of the pool gave to backend servers have
+  // All leases that earlier owners of the pool granted to backend servers have
   // expired by this time.
   Time earlier_leases_until;
 };
@@ -97,7 +97,8 @@
   void Tick(Time now, WallMillis wall, Outbox& outbox);
   Time next_wake() const { return next_wake_; }
 
-  // Gives the lease up with the next commit, in favor of `successor`.
+  // Releases the lease, in favor of `successor`, with the first commit that can
+  // hold all changes.
   void Release(const MemberId& successor);
   bool released() const { return chain_.released(); }
   // True if another process owns the pool; the caller must then destroy this
@@ -165,7 +166,7 @@
   void AddServersToHeartbeat(Time now, OwnerHeartbeat& heartbeat) const;
   int64_t CapacityCpuMillis() const;
   Time ObjectiveOf(const JobSpec& spec, Time arrived) const;
-  // Creates the occurrences of scheduled jobs that are due.
+  // Creates the occurrences of recurring jobs that are due.
   void UpdateScheduled(Time now, WallMillis wall);
   void RemoveRow(const std::string& key) { chain_.Write({key, "", true}); }
   void Wake(Time at) { next_wake_ = std::min(next_wake_, at); }
@@ -186,7 +187,7 @@
   std::map<JobId, std::vector<Waiter>> submit_waiters_;
   // Answered once the job's final state is stored.
   std::map<JobId, std::vector<Waiter>> cancel_waiters_;
-  std::set<JobId> scheduled_jobs_;  // Jobs with occurrences at set times.
+  std::set<JobId> scheduled_jobs_;  // Recurring jobs.
   bool plan_needed_ = false;
   Time last_reviewed_at_;
   Time next_pool_load_log_;
--- a/radishmoor/jobs/pool_state.h
+++ b/radishmoor/jobs/pool_state.h
@@ -21,14 +21,14 @@
 
 // Limits and properties of the platform. The defaults suit a small site.
 struct PlatformBounds {
-  // Longest lease that a backend server grants.
+  // Longest lease that may be granted to a backend server.
   Duration max_lease = Seconds(6);
   // Run time of a task that runs away from its data, as a multiple of its run
   // time near its data.
   double remote_data_slowdown = 1.5;
   // States of ended jobs are kept at least this long.
   Duration status_retention = Seconds(120);
-  // Minimum time between two owners of a host's operations.
+  // Minimum time between the calls of two fleet coordinators for one host.
   Duration host_operation_lease = Seconds(3);
   // Maximum number of calls per second that move or maintain hosts.
   double max_host_operations_per_second = 64;
@@ -66,7 +66,7 @@
   JobPoolState(PoolId pool_id, PlatformBounds platform_bounds)
       : pool(std::move(pool_id)), bounds(platform_bounds) {}
 
-  // Returns the length of the leases that this owner gives to backend servers.
+  // Returns the length of the leases that this owner grants to backend servers.
   Duration lease() const { return std::min(bounds.max_lease, kServerLease); }
 
   PoolId pool;
@@ -87,13 +87,13 @@
   // any more.
   bool fenced = false;
 
-  // Length of the leases that owners give to backend servers. It is long enough
-  // for runs to survive a change of the owner, and short enough that the tasks
-  // of a lost server start again soon.
+  // Length of the leases that owners grant to backend servers. It is long
+  // enough for runs to survive a change of the owner, and short enough that the
+  // tasks of a lost server start again soon.
   static constexpr Duration kServerLease = Milliseconds(3000);
-  // Time by which a lease may last longer than kServerLease after the owner
-  // decided to give it: a server's clock may be slow by 2%, and an order takes
-  // time to arrive.
+  // A lease may end this much later than kServerLease after the owner decided
+  // to grant it: a server's clock may be slow by 2%, and an order takes time to
+  // arrive.
   static constexpr Duration kServerLeaseSlack = Milliseconds(260);
 
   // Returns the configuration of the job's queue. A queue that is not known is
--- a/radishmoor/jobs/run_control.cc
+++ b/radishmoor/jobs/run_control.cc
@@ -77,7 +77,7 @@
 
 // Returns true if the run certainly is over, given that all leases on its
 // server have expired. A start that was not answered may still be carried out
-// by a later incarnation of the server, whose clock starts anew; such a run is
+// by a later incarnation of the server, whose clock restarts; such a run is
 // over when the start is no longer valid on that clock or after
 // kLateOrderLimit.
 bool IsCertainlyOver(const Run& run, const ServerState& server, Time now) {
@@ -354,7 +354,7 @@
       if (run->stop_wanted)
         SendStop(now, order.run, *run, outbox);
       // A server without runs is polled rarely, by polls that do not wait for
-      // ends. Makes the next poll due soon; a poll under way sets the time of
+      // ends. Makes the next poll due soon; a poll in flight sets the time of
       // the next one when it is answered.
       if (server.poll_tag == 0)
         server.next_poll_at =
--- a/radishmoor/jobs/run_control.h
+++ b/radishmoor/jobs/run_control.h
@@ -139,7 +139,7 @@
   void CloseResolved();
   // Ends the runs of an incarnation of the server that is over. Starts that
   // were not answered may reach a later incarnation, so these runs are kept
-  // until they are stopped there or their validity has passed.
+  // until they are stopped there or are no longer valid.
   void EndIncarnation(Time now,
                       ServerState& server,
                       std::string_view reason,
--- a/radishmoor/jobs/server_table.h
+++ b/radishmoor/jobs/server_table.h
@@ -55,10 +55,10 @@
   std::optional<Time> last_answer_at;
   std::optional<WallMillis> incarnation_started_at;
   ServerClock clock;
-  // End of the longest lease that this owner gave, on the server's clock; 0 if
-  // it gave none.
+  // End of the longest lease that this owner granted, on the server's clock; 0
+  // if it granted none.
   ServerMillis lease_until = 0;
-  // All leases that earlier owners gave have expired by this time.
+  // All leases that earlier owners granted have expired by this time.
   Time inherited_leases_until;
 
   // All runs that may exist on the server and are not known to have ended, and
@@ -81,9 +81,9 @@
   };
   std::deque<UnstoredEnd> unstored_ends;
 
-  uint64_t poll_tag = 0;  // Tag of the poll under way; 0: none.
+  uint64_t poll_tag = 0;  // Tag of the poll in flight; 0: none.
   Time poll_sent_at;
-  uint64_t quick_poll_tag = 0;  // Tag of the quick poll under way; 0: none.
+  uint64_t quick_poll_tag = 0;  // Tag of the quick poll in flight; 0: none.
   Time next_poll_at;
   // Failed polls in a row; at least 1 after a start that could not be sent.
   uint32_t failed_polls = 0;
@@ -118,7 +118,7 @@
     room -= used;
     return room;
   }
-  // Returns true if every lease that any owner gave has certainly expired.
+  // Returns true if every lease that any owner granted has certainly expired.
   bool LeasesExpired(Time now) const;
 };
 
--- a/radishmoor/jobs/task_dispatch.cc
+++ b/radishmoor/jobs/task_dispatch.cc
@@ -22,9 +22,9 @@
 // the server is above the minimum.
 constexpr double kMinRelocationGain = 2.0;
 constexpr double kMinRelocationSlowness = 2.0;
-// A task is moved at most this often off servers that are slow or being
-// emptied: the task itself may be long, and one server after the other may be
-// emptied.
+// Maximum number of times that a task is moved off servers that are slow or
+// being emptied. Without a limit, a task that is long on every server, or whose
+// servers are emptied one after the other, would be moved again and again.
 constexpr uint32_t kMaxRelocations = 2;
 // Delay that a move adds to the run time.
 constexpr Duration kRestartCost = Milliseconds(250);
--- a/radishmoor/jobs/testing/fleet_coordinator_test.cc
+++ b/radishmoor/jobs/testing/fleet_coordinator_test.cc
@@ -255,8 +255,8 @@
 }
 
 // Guards against a successor that calls no host at all for the minimum time
-// between two owners of a host's operations: no pool grew for 3 s. Only hosts
-// that were called recently have to wait.
+// between the calls of two coordinators for one host: no pool grew for 3 s.
+// Only hosts that were called recently have to wait.
 TEST_CASE("a successor waits only for hosts with recent calls",
           "[coordinator]") {
   FleetCoordinatorHarness site;
--- a/radishmoor/jobs/testing/job_simulation.cc
+++ b/radishmoor/jobs/testing/job_simulation.cc
@@ -70,7 +70,8 @@
   FencingToken highest_token = 0;
   ServerMillis lease_until = 0;
   std::map<TaskId, Running> running;
-  std::map<TaskId, RunNumber> highest_ended_run;  // Ended, or to be stopped.
+  // Highest run of each task that has ended or was ordered to stop.
+  std::map<TaskId, RunNumber> highest_ended_run;
   std::vector<EndedRun> ended;
   std::map<uint64_t, Time> end_times;  // By EndedRun::sequence.
   Time lease_expired_at;  // When an expired lease was last noticed.
@@ -774,7 +775,8 @@
   if (caller != callers_.end()) {
     uint32_t& failures = caller->second->failures[task];
     if (end == RunEnd::kDone)
-      // Kept here because the server may be lost before it reports the end.
+      // The success is recorded at once, because the server may be lost before
+      // it reports the end.
       failures = UINT32_MAX;
     else if (end == RunEnd::kFailed && failures != UINT32_MAX)
       ++failures;
--- a/radishmoor/jobs/testing/job_simulation_test.cc
+++ b/radishmoor/jobs/testing/job_simulation_test.cc
@@ -132,8 +132,8 @@
     };
     while (!replaced() && simulation.now() - cut < Seconds(6))
       simulation.Run(Milliseconds(50));
-    // The lease length of 1.2 s, and half a second for the delays by which
-    // candidates let each other go first.
+    // The limit allows for the lease length of 1.2 s and for half a second of
+    // delays by which candidates let each other go first.
     REQUIRE(simulation.now() - cut < Seconds(2));
     simulation.FinishJobs();
     RequireNoViolations(simulation);
