--- a/radishmoor/backend/backend_pool.cc
+++ b/radishmoor/backend/backend_pool.cc
@@ -506,7 +506,7 @@
   if (exchange.reusable) {
     MakeIdle(now, exchange.connection, *connection);
   } else {
-    // If this was the last connection of a removed host, the host goes with it.
+    // Also deletes a removed host if this was its last connection.
     RemoveConnection(exchange.connection, true);
   }
   if (Find(id) == nullptr)
@@ -884,7 +884,7 @@
       host->consecutive_failures = std::max(0, host->consecutive_failures - 1);
     }
   }
-  // Bounds the memory: further hosts do not change the verdict.
+  // Bounds the memory: hosts beyond `poison_after_hosts` change nothing.
   failed.failed_hosts.resize(std::min<size_t>(failed.failed_hosts.size(),
                                               options_.poison_after_hosts));
   return true;
@@ -895,8 +895,9 @@
     return now - entry.second.last_failed_at >
            options_.failed_request_retention;
   });
-  // If too many different requests fail, drops the half that failed least
-  // recently, so that the scan is paid only once per half a table.
+  // If the table is still full, drops the half of the requests that failed
+  // least recently, so that the table is not scanned again until as many new
+  // ones have failed.
   size_t limit = static_cast<size_t>(options_.max_tracked_requests);
   if (failed_requests_.size() < limit)
     return;
--- a/radishmoor/backend/backend_pool.h
+++ b/radishmoor/backend/backend_pool.h
@@ -5,6 +5,7 @@
 //   BackendPool pool(options, seed);
 //   pool.SetHost(now, {.host = host, .pool = tomato_desk});
 //   for (const BackendAction& action : pool.Acquire(now, {host, request, ...}))
+//     ...
 //
 // An attempt sends one request to one host. It begins with Acquire(), which
 // leads to one of:
@@ -355,7 +356,8 @@
     Time idle_since = kTimeZero;
     Time suspect_at = kTimeMax;
     bool suspect_reported = false;  // AttemptSuspect was emitted.
-    // A sibling was probed, or suspected, because of this exchange.
+    // This exchange causes no early probe any more: the probe was due already,
+    // or another connection to the host proved silent.
     bool early_probe_done = false;
     Time timer_at = kTimeMax;
   };
@@ -385,7 +387,7 @@
 
     double learned_limit = 0;
     Time limit_lowered_at = kTimeZero;
-    // Restored, and not yet known to take full load.
+    // The host was restored and is not yet known to take full load.
     bool ramping = false;
 
     Time wake_at = kTimeMax;
--- a/radishmoor/claims/claims.h
+++ b/radishmoor/claims/claims.h
@@ -227,8 +227,9 @@
     kReadBack,
     // The steps of a removal pass, in this order.
     kScanOldest,  // Scans the oldest claims.
-    kScanNewer,   // Looks for a claim that is kMaxKeyAge newer than the horizon
-                  // to be written.
+    // Looks for a claim that is kMaxKeyAge newer than the horizon to be
+    // written.
+    kScanNewer,
     kWriteHorizon,  // Moves the horizon.
     kDeleteRows,    // Deletes the rows of claims older than the horizon.
   };
--- a/radishmoor/dispatch/dispatcher.cc
+++ b/radishmoor/dispatch/dispatcher.cc
@@ -17,7 +17,8 @@
 // With fewer samples of an operation, the run times of its pool are the better
 // estimate.
 constexpr uint64_t kMinOperationSamples = 16;
-// Bound the memory for failures by request content, and how long they count.
+// Failures are recorded for at most this many request contents, which bounds
+// the memory. A record counts until this long after its last failure.
 constexpr size_t kMaxFailureRecords = 4096;
 constexpr Duration kFailureRecordLifetime = Seconds(60);
 constexpr Duration kMinRetryAfter = Milliseconds(100);
--- a/radishmoor/dispatch/dispatcher.h
+++ b/radishmoor/dispatch/dispatcher.h
@@ -4,10 +4,12 @@
 //
 //   Dispatcher dispatcher({.seed = seed});
 //   dispatcher.Handle(now, PoolUpdated{.pool = pool});
-//   dispatcher.Handle(now, TargetUpdated{.pool = pool, .host = host, .limit =
-//   8}); for (const Action& action : dispatcher.Handle(now,
-//   RequestArrived{...}))
-//   ... if (now >= dispatcher.next_wake()) dispatcher.Handle(now, Tick{});
+//   dispatcher.Handle(
+//       now, TargetUpdated{.pool = pool, .host = host, .limit = 8});
+//   for (const Action& action : dispatcher.Handle(now, RequestArrived{...}))
+//     ...
+//   if (now >= dispatcher.next_wake())
+//     dispatcher.Handle(now, Tick{});
 //
 // Every RequestArrived with an id that is not in use leads to exactly one
 // Finish. Outcome kRefused is used only if each attempt is known not to have
@@ -151,7 +153,7 @@
     Target* target = nullptr;  // Set while an attempt is in flight.
     std::vector<HostId> hosts_tried;
     std::vector<HostId> hosts_failed;
-    uint64_t timer_generation = 0;  // Of its only valid timer.
+    uint64_t timer_generation = 0;  // Of the request's only valid timer.
   };
   using RequestList = std::list<Request>;
   using RequestRef = RequestList::iterator;
@@ -289,8 +291,8 @@
   Random random_;
   Time now_ = kTimeZero;
   std::vector<Action> actions_;
-  std::vector<Pool*>
-      pools_to_schedule_;  // To schedule before Handle() returns.
+  // Pools for which Schedule() must run before Handle() returns.
+  std::vector<Pool*> pools_to_schedule_;
   std::unordered_map<PoolId, Pool> pools_;
   std::unordered_map<RequestId, RequestRef> requests_;
   std::vector<Timer> timers_;  // A heap. Invalid timers are dropped lazily.
--- a/radishmoor/dispatch/head_of_line.h
+++ b/radishmoor/dispatch/head_of_line.h
@@ -46,7 +46,7 @@
 // If a short request waits and no slot is free, a long attempt of an idempotent
 // request is aborted. The request is queued again in the long class. The run
 // time lost by aborts is at most `max_lost_share` of the completed run time
-// plus `idle_credit` of the time that slots were idle.
+// plus `idle_credit` times the time that slots were idle.
 struct RestartLong {
   // With 0.1, restarted requests were soon aborted again. With 0.3, the slowest
   // long requests took twice as long as with 0.22.
--- a/radishmoor/dispatch/testing/dispatch_bench.cc
+++ b/radishmoor/dispatch/testing/dispatch_bench.cc
@@ -248,8 +248,7 @@
   Time peak_end_ = peak_start_ + load_.peak_duration;
   Time end_ = peak_end_ + load_.after_peak;
   Time queue_recovered_at_ = kTimeMax;
-  // Earliest arrival after the peak of a short request that started within 1
-  // ms.
+  // Arrival of the first short request after the peak that started within 1 ms.
   Time short_recovered_at_ = kTimeMax;
   double max_normal_queue_ = -1;
   uint64_t last_id_ = 0;
@@ -350,6 +349,9 @@
                 .peak_duration = Seconds(5),
                 .after_peak = Seconds(15),
                 .time_to_deadline = Seconds(10)};
+  // In the last two variants, `max_queue_time` has no effect because it exceeds
+  // the time to the deadline. "full-deadline" also lets requests wait until
+  // their deadline.
   std::vector<Variant> overload_variants = policies;
   overload_variants.push_back({"tenth-only", {.max_queue_time = Seconds(60)}});
   overload_variants.push_back(
--- a/radishmoor/dispatch/testing/random_driver.h
+++ b/radishmoor/dispatch/testing/random_driver.h
@@ -282,7 +282,7 @@
   std::map<TargetKey, int> targets_;  // Limit of each host; 0 if not usable.
   std::map<TargetKey, int> in_flight_;
   std::map<RequestId, Record> live_;
-  // Aborted for a restart and not sent again yet.
+  // Requests that were aborted for a restart and not sent again yet.
   std::map<RequestId, bool> aborted_;
   uint64_t last_id_ = 0;
   uint64_t retries_ = 0;
--- a/radishmoor/entry/entry_core.cc
+++ b/radishmoor/entry/entry_core.cc
@@ -12,12 +12,12 @@
 namespace {
 
 // The permission to send to hosts of other zones expires without an event, so
-// the targets are compared with it at this interval; slot demand and membership
+// the targets are updated from it at this interval; slot demand and membership
 // are refreshed at the same time. The check before each send is exact.
 constexpr Duration kTargetRefreshPeriod = Milliseconds(200);
 
 // A notice of leaving hosts is repeated once per period, and valid for three
-// periods so that a lost notice has no effect.
+// periods so that the loss of a single notice has no effect.
 constexpr Duration kLeavingNoticePeriod = Seconds(1);
 constexpr Duration kLeavingNoticeValidity = Seconds(3);
 
--- a/radishmoor/entry/testing/system_checker.h
+++ b/radishmoor/entry/testing/system_checker.h
@@ -81,7 +81,8 @@
     ++checks;
     auto it = requests_.find(uid);
     if (it == requests_.end())
-      return ReportViolation(now, "one-outcome", "outcome for no request");
+      return ReportViolation(now, "one-outcome",
+                             "outcome of an unknown request");
     Request& request = it->second;
     if (++request.outcomes > 1)
       return ReportViolation(now, "one-outcome",
@@ -110,7 +111,7 @@
       ReportViolation(now, "no-reboot-of-live-work", host.str());
     if (state == nullptr || state->phase != HostPhase::kRebooting)
       ReportViolation(now, "no-reboot-of-live-work",
-                      host.str() + " is not reserved");
+                      host.str() + " is not in phase rebooting");
   }
 
   void OnVersionInForce(Time now,
--- a/radishmoor/entry/testing/system_driver.cc
+++ b/radishmoor/entry/testing/system_driver.cc
@@ -73,8 +73,8 @@
   ConnectionId id;
   Host* host = nullptr;
   uint64_t boot_count = 0;
-  bool open = true;        // At the entry process.
-  bool host_open = false;  // At the backend host.
+  bool open = true;        // The entry process has the connection open.
+  bool host_open = false;  // The backend host has the connection open.
   bool silent = false;     // No message passes in either direction.
   uint64_t run = 0;
 };
@@ -1071,12 +1071,12 @@
       case 3:
       case 4:
         if (short_drain_gate_) {
-          // Longer than kShortDrainGateBound.
+          // The pause is longer than kShortDrainGateBound.
           CountFault("pause-process");
           return any.Pause(sim_.now + random.Between(Seconds(30), Seconds(90)));
         }
-        any.pause_after_next_call =
-            any.is_up();  // Counted when the pause starts.
+        // The fault is counted when the pause starts.
+        any.pause_after_next_call = any.is_up();
         return;
       case 5:
         store_.faults = RandomFaults(random);
--- a/radishmoor/membership/lease.h
+++ b/radishmoor/membership/lease.h
@@ -68,9 +68,9 @@
   static constexpr Duration kScanPeriod = Seconds(3);
   static constexpr Duration kCallTimeout = Seconds(2);
   static constexpr Duration kMinWriteGap = Milliseconds(20);
-  // Control processes are ranked per pool by their rendezvous weight; the first
-  // is the preferred holder. A process takes a free lease only after it was
-  // free for this long times the rank of the process. So the preferred holder
+  // Control processes are ranked per pool by their rendezvous weight; the
+  // preferred holder has rank 0. A process of rank n takes a free lease only
+  // after the lease was free for n times this delay. So the preferred holder
   // comes first, and the lease does not stay free if the processes see
   // different members.
   static constexpr Duration kRankDelay = Seconds(5);
@@ -140,8 +140,8 @@
   void EndScan(Time now, Actions& out);
   void OnWritten(Time now, RowVersion version, Actions& out);
   void ReconcileLeases(Time now, Actions& out);
-  // Takes, releases or reports one lease as needed. Returns whether it has
-  // tried to write, in which case no other lease is written in this round.
+  // Takes, releases or reports one lease as needed. Returns whether a write was
+  // tried, in which case the same ReconcileLeases() call writes no other lease.
   bool ReconcileLease(Time now, const PoolId& pool, Lease& lease, Actions& out);
   void Take(Time now, const PoolId& pool, Lease& lease, Actions& out);
   void Remove(Time now, const PoolId& pool, Lease& lease, Actions& out);
--- a/radishmoor/membership/testing/membership_test.cc
+++ b/radishmoor/membership/testing/membership_test.cc
@@ -128,9 +128,9 @@
   }
   void HandleAction(size_t, const LeaseAction&) {}
 
-  // Sends a control transaction of the pool if the process believes that it
-  // holds the lease. When it commits, the lease row must still name the
-  // process.
+  // Sends a control transaction of the pool if the process holds the lease in
+  // its own view. When the transaction commits, the lease row must still name
+  // the process.
   void Write(size_t index, const PoolId& pool) {
     ControlProcess& process = *processes[index];
     auto expects = process.leases->Expectations(sim.now, pool);
@@ -156,8 +156,8 @@
     });
   }
 
-  // Of the processes that believe that they hold the lease of a pool, at most
-  // one may have transactions that the store would commit.
+  // Checks that for each pool the store would commit transactions of at most
+  // one of the processes that hold the lease in their own view.
   void CheckSingleHolder() {
     for (const PoolId& pool : pools) {
       int effective_holders = 0;
--- a/radishmoor/slots/slot_shares.h
+++ b/radishmoor/slots/slot_shares.h
@@ -187,7 +187,7 @@
   struct HostState {
     uint32_t total_slots = 0;
     uint32_t fixed_share = 0;
-    uint32_t share = 0;  // In force: as granted, or the fixed share.
+    uint32_t share = 0;  // Granted share if there is a grant, else fixed.
     uint32_t in_use = 0;
   };
   struct SentDemand {
@@ -212,7 +212,8 @@
     std::map<HostId, uint32_t> granted_slots;
     // Sequence of the grant in use; 0 if it is not from the present allocator.
     uint64_t applied_sequence = 0;
-    // Of the newest grant accepted from the present allocator.
+    // Allocator's incarnation and sequence of the newest grant accepted from
+    // the present allocator.
     Incarnation accepted_incarnation;
     uint64_t accepted_sequence = 0;
     Time wake = kTimeMax;  // Key of this pool in `wakes_`; kTimeMax if absent.
--- a/radishmoor/slots/testing/slots_bench.cc
+++ b/radishmoor/slots/testing/slots_bench.cc
@@ -28,7 +28,7 @@
 constexpr int kHosts = 10;
 constexpr int kSlotsPerHost = 8;
 constexpr int kMeanRunMs = 20;
-// A process refuses requests beyond this number.
+// A process refuses new requests while its queue has this length.
 constexpr size_t kMaxQueuedRequests = 64;
 constexpr int kSeeds = 5;
 constexpr int kEndMs = 17'000;
@@ -205,8 +205,8 @@
     switch (e.kind) {
       case kProbeAnswer: {
         --probes_in_flight_[e.process];
-        // The choice of the host is 2 ms old: it uses the loads at the time
-        // when the probes were sent.
+        // The host was chosen 2 ms ago, by the loads at the time when the
+        // probes were sent.
         Send(e.process, e.host_index, {e.arrived_ms, e.run_ms});
         return;
       }
--- a/radishmoor/store/testing/faulty_table.h
+++ b/radishmoor/store/testing/faulty_table.h
@@ -137,7 +137,7 @@
     double lost = 0;         // UnknownReply; the effect comes late or never.
     double silent = 0;       // As `lost`, but without any reply.
     double twice = 0;        // Request and answer arrive a second time, late.
-    Duration max_delay = Milliseconds(10);  // One way, of normal calls.
+    Duration max_delay = Milliseconds(10);  // Of normal calls, one way.
     Duration max_late = Seconds(20);        // Of late effects and answers.
   };
 
