--- a/radishmoor/claims/claims.cc
+++ b/radishmoor/claims/claims.cc
@@ -550,7 +550,7 @@
   }
 }
 
-// Queues the claim of `entry` again, whose write did not take effect.
+// Queues the claim of `entry` again because its write did not take effect.
 void Claims::Requeue(const BatchEntry& entry) {
   Claim& claim = claims_.at(entry.key);
   claim.in_batch = false;
--- a/radishmoor/dispatch/dispatcher.cc
+++ b/radishmoor/dispatch/dispatcher.cc
@@ -403,7 +403,8 @@
   return pool.free > std::min(reserved_slots, pool.capacity / 2);
 }
 
-// Returns when a request of the long class goes ahead of the short class.
+// Returns the time from which a request of the long class goes ahead of the
+// short class.
 // Bounds how long short requests can delay long ones.
 Time Dispatcher::OverdueTime(const Request& request) const {
   return request.restarted
--- a/radishmoor/dispatch/testing/random_driver.h
+++ b/radishmoor/dispatch/testing/random_driver.h
@@ -138,8 +138,9 @@
                         record.idempotent, record.deadline, random_.Below(50)});
   }
 
-  // Returns the next live request from a random one of the last 60 ids onwards,
-  // else the oldest live request, or end() if none is live.
+  // Picks one of the last 60 ids at random and returns the first live request
+  // with this or a larger id. Without such a request, returns the oldest live
+  // request, or end() if none is live.
   std::map<RequestId, Record>::iterator AnyLiveRequest() {
     auto it = live_.lower_bound(
         {last_id_ - random_.Below(std::min<uint64_t>(last_id_, 60) + 1)});
--- a/radishmoor/membership/member.h
+++ b/radishmoor/membership/member.h
@@ -152,7 +152,7 @@
 
   // Returns the expectation on the member row that a fenced write must include.
   // Absent without the lease and while the outcome of a write of the row is
-  // open, since that write may change the row version.
+  // unknown, since that write may change the row version.
   std::optional<RowExpectation> Expectation(Time now) const;
 
   const MemberRecord& record() const { return record_; }
--- a/radishmoor/slots/testing/slots_bench.cc
+++ b/radishmoor/slots/testing/slots_bench.cc
@@ -1,8 +1,8 @@
 // Compares schemes for sharing the slots of hosts between entry processes. Runs
 // in virtual time with steps of 1 ms: one pool of 10 hosts with 8 slots each,
 // and 9 entry processes. The run times of requests are exponentially
-// distributed with a mean of 20 ms. A message between a process and a host
-// takes 1 ms.
+// distributed with a mean of 20 ms, cut at 500 ms. A message between a process
+// and a host takes 1 ms.
 //
 //   slots_bench [--json]
 //
