--- a/radishmoor/dispatch/dispatcher.cc
+++ b/radishmoor/dispatch/dispatcher.cc
@@ -17,7 +17,8 @@
 // With fewer samples of an operation, the run times of its pool are the better
 // estimate.
 constexpr uint64_t kMinOperationSamples = 16;
-// Bound the memory for failures by request content, and how long they count.
+// Failures are recorded for at most this many request contents, which bounds
+// the memory. A record counts until this long after its last failure.
 constexpr size_t kMaxFailureRecords = 4096;
 constexpr Duration kFailureRecordLifetime = Seconds(60);
 constexpr Duration kMinRetryAfter = Milliseconds(100);
@@ -402,7 +403,8 @@
   return pool.free > std::min(reserved_slots, pool.capacity / 2);
 }
 
-// Returns when a request of the long class goes ahead of the short class.
+// Returns the time from which a request of the long class goes ahead of the
+// short class.
 // Bounds how long short requests can delay long ones.
 Time Dispatcher::OverdueTime(const Request& request) const {
   return request.restarted
--- a/radishmoor/dispatch/testing/random_driver.h
+++ b/radishmoor/dispatch/testing/random_driver.h
@@ -138,8 +138,9 @@
                         record.idempotent, record.deadline, random_.Below(50)});
   }
 
-  // Returns the next live request from a random one of the last 60 ids onwards,
-  // else the oldest live request, or end() if none is live.
+  // Picks one of the last 60 ids at random and returns the first live request
+  // with this or a larger id. Without such a request, returns the oldest live
+  // request, or end() if none is live.
   std::map<RequestId, Record>::iterator AnyLiveRequest() {
     auto it = live_.lower_bound(
         {last_id_ - random_.Below(std::min<uint64_t>(last_id_, 60) + 1)});
@@ -282,7 +283,7 @@
   std::map<TargetKey, int> targets_;  // Limit of each host; 0 if not usable.
   std::map<TargetKey, int> in_flight_;
   std::map<RequestId, Record> live_;
-  // Aborted for a restart and not sent again yet.
+  // Requests that were aborted for a restart and not sent again yet.
   std::map<RequestId, bool> aborted_;
   uint64_t last_id_ = 0;
   uint64_t retries_ = 0;
