--- a/radishmoor/config/plan.h
+++ b/radishmoor/config/plan.h
@@ -129,7 +129,8 @@
   // or if ApplyPlan() gave up because of changes by control; `reason` then says
   // so.
   std::optional<std::vector<ObjectChange>> difference;
-  std::string reason;  // Set for kUnavailable and kUnknown, and see above.
+  // Set for kUnavailable, kUnknown, and kConflict if ApplyPlan() gave up.
+  std::string reason;
   bool snapshot_failed = false;  // A snapshot was due and was not written.
 };
 
--- a/radishmoor/control/control_core.h
+++ b/radishmoor/control/control_core.h
@@ -73,9 +73,9 @@
   // Releases all leases and deletes the member row, for a planned stop.
   ControlActions Leave(Time now, WallMillis wall);
 
-  // Hosts whose health this process observes: those whose current or wanted
-  // pool it holds the lease of, and the first hosts that completed the
-  // maintenance round.
+  // Returns the hosts whose health this process observes: hosts whose current
+  // or wanted pool is leased by this process, and the first hosts that
+  // completed the maintenance round.
   std::vector<const HostState*> ObservedHosts(Time now) const;
 
   bool ready() const { return view_.ready() && member_.registered(); }
@@ -137,7 +137,7 @@
   std::string scan_resume_key_;
   MemberList scanned_members_;
   size_t scan_bytes_ = 0;
-  // Version of each row and when it was first seen.
+  // Version of each member row and when this process first saw that version.
   std::map<MemberId, std::pair<RowVersion, Time>> row_changes_;
   Time next_host_list_ = kTimeZero;
 };
--- a/radishmoor/fleet/change_writer.h
+++ b/radishmoor/fleet/change_writer.h
@@ -1,10 +1,9 @@
 // Writes changes to the configuration log, one at a time, within a rate limit.
 //
-//   if (writer.Ready(now)) {
-//     StoreCall call = writer.Start(now, delta, head, fences);
-//   }
+//   if (writer.Ready(now))
+//     writer.Start(now, delta, head, fences, removed_rows);
 //   std::optional<WriteResult> result = writer.Handle(now, answer);
-//   for (StoreCall& call : writer.TakeCalls()) ...
+//   for (StoreCall& call : writer.TakeCalls()) ...  // Send to the store.
 //
 // A transaction expects `config/head` at the version on which the change was
 // decided, so at most one change can follow that version. If the answer to a
@@ -42,10 +41,10 @@
 
 enum class WriteOutcome : uint8_t {
   kCommitted,
-  kConflict,    // The change was decided on an old version, or a fence row has
-                // changed.
-  kNotWritten,  // The store was unavailable, or reading after a lost answer
-                // found no delta.
+  // The change was decided on an old version, or a fence row has changed.
+  kConflict,
+  // The store was unavailable, or reading after a lost answer found no delta.
+  kNotWritten,
 };
 
 struct WriteResult {
@@ -65,7 +64,7 @@
   void SetWriterCount(uint32_t writer_count);
 
   // Returns true if no change is in flight and neither the rate limit nor the
-  // back-off forbids a new one.
+  // backoff forbids a new one.
   bool Ready(Time now) const;
   bool idle() const { return stage_ == Stage::kIdle; }
   // Time at which Ready() may become true, a delayed read is due, or the call
@@ -98,7 +97,7 @@
   enum class Stage : uint8_t {
     kIdle,
     kCommitting,
-    kWaitingToRead,  // The answer was lost; a read follows after the back-off.
+    kWaitingToRead,  // The answer was lost; a read follows after the backoff.
     kReading,
   };
 
--- a/radishmoor/fleet/controller.h
+++ b/radishmoor/fleet/controller.h
@@ -83,12 +83,12 @@
   // decision, since observations and member rows become outdated with time.
   Time next_wake() const { return next_wake_; }
 
-  // As SoonDueHosts().
+  // Returns true if SoonDueHosts() of wave.h lists the host.
   bool IsSoonDue(const HostId& host) const { return soon_due_.contains(host); }
   // Returns why a draining host is not considered idle yet, for diagnostics.
   DrainGateResult CheckDrainGate(Time now, const HostId& host) const;
   bool wave_paused() const { return wave_.paused(); }
-  // As Wave::FirstCompleted().
+  // Returns Wave::FirstCompleted() for the accepted configuration.
   std::vector<HostId> FirstCompleted(size_t limit) const {
     return wave_.FirstCompleted(state_, limit);
   }
--- a/radishmoor/fleet/lending.h
+++ b/radishmoor/fleet/lending.h
@@ -4,10 +4,9 @@
 // be moved to any other pool. `wanted_pool` stays the same during a loan, so no
 // other record is needed to bring the host back.
 //
-//   LendingPolicy policy = HysteresisLending{options};
-//   Lender lender(policy);
-//   lender.ObserveLoads(now, loads);
-//   LendingPlan plan = lender.Plan(now, state);
+//   LendingPlanner planner(HysteresisLending{});
+//   planner.ObserveLoads(now, loads);
+//   LendingPlan plan = planner.Plan(now, state);
 
 #ifndef RADISHMOOR_FLEET_LENDING_H_
 #define RADISHMOOR_FLEET_LENDING_H_
@@ -37,7 +36,7 @@
   // Takes hosts back when the load per host would stay at or below this share
   // without them.
   double low = 0.5;
-  // How long each condition must hold.
+  // How long the condition for lending or for taking back must hold.
   Duration lend_after = Seconds(2);
   Duration return_after = Seconds(30);
 };
@@ -54,7 +53,7 @@
   // admission to the new pool.
   Duration lead_time = Seconds(60);
   Duration return_after = Seconds(30);
-  // Weight of the newest period in the learned load of a bin.
+  // Weight of the newest period, from 0 to 1, in the learned load of a bin.
   double newest_period_weight = 0.5;
 };
 
@@ -72,7 +71,8 @@
 
  private:
   struct Bin {
-    double load = 0;  // Weighted mean of the maximum of each period.
+    // Weighted mean, over the periods, of the maximum load in this bin.
+    double load = 0;
     bool known = false;
   };
   struct LoadHistory {
@@ -85,12 +85,13 @@
     double current_bin_max = 0;
   };
 
-  // Load to plan for, in hosts: the last report or, when predicting, the
-  // largest learned load within the lead time if that is larger.
+  // Returns the load to plan for, in hosts: the last report or, when
+  // predicting, the largest learned load within the lead time if that is
+  // larger.
   double ExpectedLoad(Time now, const LoadHistory& history) const;
   void RecordLoad(Time now, LoadHistory* history) const;
-  // Number of hosts on loan that the pool should have. It has `own` hosts of
-  // its own and `loans` on loan now.
+  // Returns the number of hosts on loan that the pool should have. The pool
+  // now has `own` hosts of its own and `loans` on loan.
   uint32_t WantedLoans(Time now,
                        LoadHistory* history,
                        uint32_t own,
--- a/radishmoor/fleet/testing/fleet_sim.h
+++ b/radishmoor/fleet/testing/fleet_sim.h
@@ -1,7 +1,8 @@
 // Simulated site in virtual time for tests and benches of the fleet controller:
 // control processes with leases, entry processes, one MemoryTable, and a
 // platform that reboots hosts. An entry process sends to hosts of its own zone
-// under any view, but to hosts of other zones only under a view of at most 5 s.
+// under any view of the configuration, but to hosts of other zones only under a
+// view that is at most 5 s old.
 // The simulation checks each committed change, reboot and send against the
 // state of the whole site.
 
@@ -51,8 +52,8 @@
   uint32_t max_racks = 2;
   Duration reboot_time = Seconds(20);
   Duration step = Milliseconds(200);
-  double sends_per_step =
-      2;  // Mean number of requests per entry process and step.
+  // Mean number of requests that an entry process sends in each step.
+  double sends_per_step = 2;
   Duration max_request_time = Seconds(20);
   ControllerOptions control;
 };
--- a/radishmoor/fleet/types.h
+++ b/radishmoor/fleet/types.h
@@ -155,8 +155,8 @@
   // Lost answers of changes that turned out to be committed.
   uint64_t resolved_committed = 0;
   uint64_t drains_started = 0;
-  uint64_t drains_cancelled =
-      0;  // Drains that ended with the host active again.
+  // Drains that ended with the host active again.
+  uint64_t drains_cancelled = 0;
   uint64_t moves = 0;
   uint64_t reboots = 0;
   uint64_t retired = 0;
--- a/radishmoor/fleet/wave.h
+++ b/radishmoor/fleet/wave.h
@@ -50,8 +50,8 @@
 
 // Returns the hosts that are out of service or will be drained soon, on which
 // long work should not be placed: hosts that are leaving, moving or held, and
-// due hosts in the racks that are in maintenance or come next. Cost:
-// O(hosts log hosts).
+// due hosts in the racks that are in maintenance or come next.
+// Cost: O(hosts log hosts).
 std::vector<HostId> SoonDueHosts(const FleetState& state);
 
 using RackKey = std::pair<ZoneId, RackId>;
@@ -78,7 +78,8 @@
                                    const HealthView& health,
                                    const BudgetTable& budgets);
 
-  // What the hosts in maintenance use of the limits now. Cost: O(hosts).
+  // Returns what the hosts in maintenance use of the limits now.
+  // Cost: O(hosts).
   WaveUsage Usage(Time now,
                   const FleetState& state,
                   const HealthView& health) const;
--- a/radishmoor/net/http_client.cc
+++ b/radishmoor/net/http_client.cc
@@ -309,7 +309,7 @@
     client.Send(id, it->second.request);
   }
 
-  // Called after a time-out: its cause may have broken the idle connections to
+  // Called after a timeout: its cause may have broken the idle connections to
   // the same endpoint as well.
   void CloseIdleConnections(const Endpoint& endpoint) {
     auto node = idle.extract(endpoint);
--- a/radishmoor/net/http_client.h
+++ b/radishmoor/net/http_client.h
@@ -5,10 +5,10 @@
 //   client.Send(id, request);     // after on_opened; one exchange at a time
 //   client.Close(id);
 //
-// HttpClient has no time-outs; its user decides when to close a connection.
+// HttpClient has no timeouts; its user decides when to close a connection.
 // After Close(id) no handler is called for that connection. A response without
-// a length ends with the connection, so that a truncated one looks complete: it
-// is reported as a failed exchange.
+// a length is reported as a failed exchange: it ends with the connection, so a
+// truncated one cannot be told from a complete one.
 
 #ifndef RADISHMOOR_NET_HTTP_CLIENT_H_
 #define RADISHMOOR_NET_HTTP_CLIENT_H_
@@ -62,7 +62,7 @@
   std::shared_ptr<Impl> impl_;
 };
 
-// Sends single requests with a time-out and reuses idle connections.
+// Sends single requests with a timeout and reuses idle connections.
 class HttpFetcher {
  public:
   struct Failure {
@@ -76,15 +76,15 @@
   ~HttpFetcher();
 
   // Calls `callback` exactly once, after Fetch() has returned. If the process
-  // does not run when the timer expires, the request ends up to 500 ms after
-  // the late timer, so that a response that has arrived is read first.
+  // was not running when `timeout` passed, the request gets up to 500 ms more,
+  // so that a response that arrived in the meantime is read.
   void Fetch(const Endpoint& endpoint,
              HttpRequest request,
              Duration timeout,
              Callback callback);
 
-  // Estimated bytes with headers. Sent bytes are counted when a request is
-  // written, received bytes when a response is complete.
+  // Estimated numbers of bytes, with headers. Sent bytes are counted when a
+  // request is written, received bytes when a response is complete.
   struct Counters {
     uint64_t bytes_sent = 0;
     uint64_t bytes_received = 0;
--- a/radishmoor/net/http_server.cc
+++ b/radishmoor/net/http_server.cc
@@ -123,7 +123,7 @@
       ReadRequest();
       return;
     }
-    // The read time-out starts with the first bytes of a request, so that an
+    // The read timeout starts with the first bytes of a request, so that an
     // idle connection is not closed as a slow sender.
     stream_.expires_after(server_->limits.idle_timeout);
     stream_.async_read_some(
--- a/radishmoor/net/peer_transport.cc
+++ b/radishmoor/net/peer_transport.cc
@@ -28,8 +28,9 @@
                [this](std::string_view payload) { Receive(payload); }) {}
 
   void Receive(std::string_view payload);
-  // Whether the connection to `endpoint` is older than kMaxPeerSilence and its
-  // member has sent nothing for that long. False if the member is not known.
+  // Returns true if the connection to `endpoint` is older than kMaxPeerSilence
+  // and the member there has sent nothing for that long. Returns false if the
+  // member is not known.
   bool IsSilent(const Endpoint& endpoint);
 
   EventLoop& loop;
--- a/radishmoor/net/testing/http_test.cc
+++ b/radishmoor/net/testing/http_test.cc
@@ -70,7 +70,7 @@
 }
 
 // Guards against a truncated response that is taken for a complete one: without
-// a length, both end with the connection.
+// a length, both kinds of response end with the connection.
 TEST_CASE("a response without a length is a failure") {
   auto result =
       FetchOnce({}, [](HttpServer& server, ExchangeId id, const HttpRequest&) {
@@ -79,7 +79,7 @@
   REQUIRE(std::holds_alternative<HttpFetcher::Failure>(result));
 }
 
-// Guards against false time-outs: after the process was stopped for a while,
+// Guards against false timeouts: after the process was stopped for a while,
 // the timer expires before the response that arrived meanwhile is read.
 TEST_CASE("a response that arrives while the process is stopped is not lost") {
   constexpr size_t kBodyBytes = 200'000;  // Takes several reads.
--- a/radishmoor/ops/log.h
+++ b/radishmoor/ops/log.h
@@ -70,8 +70,8 @@
 
 // Like StartLog(), but keeps lines in a buffer of 512 KiB until FlushLog().
 // `options.stream` is ignored, and standard output becomes non-blocking. A line
-// that does not fit into the buffer is dropped. Not thread-safe: one thread may
-// log and flush.
+// that does not fit into the buffer is dropped. Not thread-safe: only one
+// thread may log and flush.
 void StartBufferedLog(const LogOptions& options);
 // Writes as much of the buffer to standard output as it takes without blocking.
 void FlushLog();
--- a/radishmoor/ops/metrics.cc
+++ b/radishmoor/ops/metrics.cc
@@ -70,7 +70,7 @@
   return result;
 }
 
-// `a="1",b="2"`, without braces.
+// Returns the labels in the form `a="1",b="2"`, without braces.
 std::string LabelText(const Labels& labels) {
   std::string result;
   for (const auto& [name, value] : labels) {
@@ -153,7 +153,8 @@
   struct Family {
     Kind kind = Kind::kCounter;
     std::string help;
-    // By label text. Handles point into this map: its nodes do not move.
+    // The series by their label text. Handles point into this map, whose nodes
+    // do not move.
     std::map<std::string, Series> series;
   };
 
--- a/radishmoor/ops/program_settings.cc
+++ b/radishmoor/ops/program_settings.cc
@@ -163,7 +163,7 @@
                  [](const SettingValues& v) -> std::optional<std::string> {
                    for (const SocketAddress& seed : v.Addresses("seed-peers")) {
                      if (seed == v.Address("peer-address"))
-                       return "--seed-peers: holds the own --peer-address " +
+                       return "--seed-peers: includes --peer-address " +
                               seed.str() + ", remove it";
                    }
                    return std::nullopt;
--- a/radishmoor/service/http_rules.cc
+++ b/radishmoor/service/http_rules.cc
@@ -46,7 +46,7 @@
   return result;
 }
 
-// "/service/operation/...?query" -> {"service", "operation"}.
+// Splits "/service/operation/...?query" into {"service", "operation"}.
 std::pair<std::string_view, std::string_view> SplitTarget(
     std::string_view target) {
   target = target.substr(0, target.find('?'));
--- a/radishmoor/standins/history.h
+++ b/radishmoor/standins/history.h
@@ -61,8 +61,8 @@
   uint64_t may_have_run = 0;
   uint64_t closed = 0;
   uint64_t lost = 0;
-  uint64_t keys_started_repeatedly =
-      0;  // Idempotency keys that started more than once.
+  // Idempotency keys whose requests started more than once.
+  uint64_t keys_started_repeatedly = 0;
   std::vector<std::string> violations;  // One sentence each.
 };
 
--- a/radishmoor/standins/testing/site_fixture.h
+++ b/radishmoor/standins/testing/site_fixture.h
@@ -209,7 +209,8 @@
 // site's loop runs.
 class Load {
  public:
-  // Sets the target, and the services to all pools if there are none.
+  // Directs the load to callers_relay. If `options` names no services, the
+  // load calls all pools.
   Load(Site& site, LoadOptions options);
 
   // Waits until every call has its result. Throws std::runtime_error if that
