--- a/radishmoor/control/control_core.cc
+++ b/radishmoor/control/control_core.cc
@@ -12,8 +12,8 @@
 constexpr uint64_t kOwners = 8;
 constexpr Duration kScanPeriodWhileDraining = Milliseconds(500);
 constexpr Duration kIdleScanPeriod = Seconds(5);
-// Keeps scans of the member rows within a third of the 9 KB/s of traffic that a
-// process may spend on control.
+// Keeps scans of the member rows within a third of the 9 KB/s of traffic that
+// an entry host may spend on control.
 constexpr int64_t kScanBytesPerSecond = 3000;
 // Rows per page of a scan; all members of the largest planned site fit in one
 // page. The drain gate needs rows of one read, since between two pages a
@@ -24,7 +24,7 @@
 // several, the round continues if one of them fails later.
 constexpr size_t kObservedCanaries = 3;
 // Limit for reading the host list. The list of 1,300 hosts has 66 KB; reading
-// it every 5 s would alone exceed the 9 KB/s that a process may spend on
+// it every 5 s would alone exceed the 9 KB/s that an entry host may spend on
 // control.
 constexpr int64_t kHostListBytesPerSecond = 2000;
 constexpr int64_t kHostListEntryBytes = 40;  // Excluding the name.
