--- a/radishmoor/jobs/run_control.cc
+++ b/radishmoor/jobs/run_control.cc
@@ -516,8 +516,9 @@
                             const RunRef& ref,
                             Outbox& outbox) {
   ++state_.counters.runs_done;
+  // A task of a long-running step never counts as done; it is started again.
   if (job.StepOf(task).long_running)
-    return;  // A task of a long-running step starts again.
+    return;
   Occurrence& occurrence = job.occurrences.at(ref.task.occurrence);
   bool gang = job.StepOf(task).gang;
   for (Task& other : occurrence.tasks) {
--- a/radishmoor/net/store_json.cc
+++ b/radishmoor/net/store_json.cc
@@ -130,7 +130,7 @@
     return HostListState::kLeaving;
   if (name == "terminated")
     return HostListState::kTerminated;
-  throw StoreFormatError("unknown state in host list: " + std::string(name));
+  throw StoreFormatError("unknown host state: " + std::string(name));
 }
 
 HostListReply HostListFromJson(const json::object& object) {
@@ -159,7 +159,7 @@
   }
   if (request.target == "/table/commit")
     return CommitRows{TransactionFromJson(body)};
-  throw StoreFormatError("no such store request: " + request.target);
+  throw StoreFormatError("no such target: " + request.target);
 }
 
 StoreReply DecodeSuccess(const StoreRequest& request,
@@ -255,7 +255,7 @@
   } catch (const std::exception& error) {
     throw StoreFormatError(error.what());
   }
-  throw StoreFormatError("no such store request: " + request.target);
+  throw StoreFormatError("no such target: " + request.target);
 }
 
 HttpResponse EncodeStoreReply(const StoreReply& reply) {
--- a/radishmoor/standins/platform_server.cc
+++ b/radishmoor/standins/platform_server.cc
@@ -181,9 +181,7 @@
     key = given->to_number<uint64_t>();
   bool at_most_once = key != 0 && operation != "status";
   if (at_most_once && key <= last_completed_keys[operation_key]) {
-    server.Respond(id, Text(200,
-                            "an operation with this or a larger key was "
-                            "already carried out\n"));
+    server.Respond(id, Text(200, "done before\n"));
     return;
   }
   HttpRequest forwarded{
